--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 
 #include "bench/codec.h"
-#include "policy/fairness.h"
+#include "policy/max_min_fairness.h"
 #include "policy/fleet.h"
 
 namespace beamshunt::test {
--- a/tests/policy/scale_test.cpp
+++ b/tests/policy/scale_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "policy/channel.h"
+#include "policy/channel_budget.h"
 #include "policy/fleet.h"
 
 namespace beamshunt::test {
@@ -60,12 +60,12 @@
 }
 
 TEST(Channel, CountsWhatIsNotConfirmed) {
-  OrderChannel channel(channel_settings());
+  ChannelBudget channel(channel_settings());
   Time now{Duration(700)};
   channel.add(ProxyId(1), 5);
   channel.add(ProxyId(1), 2);
   channel.add(ProxyId(2), 1);
-  EXPECT_EQ(channel.waiting(now), 8 + 4 * 2);
+  EXPECT_EQ(channel.queued_lines(now), 8 + 4 * 2);
   auto first = channel.close(Time(Duration(0)));
   EXPECT_FALSE(channel.close(Time(Duration(0))));
   channel.add(ProxyId(1), 6);
@@ -73,25 +73,25 @@
   ASSERT_TRUE(first && second);
   EXPECT_EQ(channel.most_messages({ProxyId(1), ProxyId(2)}, Time(Duration(600))), 3);
   EXPECT_EQ(channel.most_messages({ProxyId(1), ProxyId(2)}, Time(Duration(10400))), 2);
-  channel.applied(ProxyId(1), *second);  // the later one confirms the earlier too
-  EXPECT_EQ(channel.waiting(now), 5);
-  channel.applied(ProxyId(1), *first);
-  channel.applied(ProxyId(9), *first);
-  EXPECT_EQ(channel.waiting(now), 5);
+  channel.acknowledge(ProxyId(1), *second);  // the later one confirms the earlier too
+  EXPECT_EQ(channel.queued_lines(now), 5);
+  channel.acknowledge(ProxyId(1), *first);
+  channel.acknowledge(ProxyId(9), *first);
+  EXPECT_EQ(channel.queued_lines(now), 5);
 }
 
 // Danger: the queue still holds what was ordered for proxies that left, while they join and are bound anew.
 TEST(Channel, WhatWaitsForTheDepartedLeavesAtTheChannelsPace) {
-  OrderChannel channel(channel_settings());
+  ChannelBudget channel(channel_settings());
   Time now{Duration(0)};
   channel.add(ProxyId(1), 496);
   channel.close(now);
   channel.add(ProxyId(1), 96);
   channel.forget(ProxyId(1), now);
   EXPECT_FALSE(channel.close(now)) << "its open message is not sent";
-  EXPECT_EQ(channel.waiting(now), 500);
-  EXPECT_EQ(channel.waiting(now + Duration(300)), 200);
-  EXPECT_EQ(channel.waiting(now + Duration(900)), 0);
+  EXPECT_EQ(channel.queued_lines(now), 500);
+  EXPECT_EQ(channel.queued_lines(now + Duration(300)), 200);
+  EXPECT_EQ(channel.queued_lines(now + Duration(900)), 0);
 }
 
 // Danger: binds of hundreds of proxies that join at once, each with its whole table, overfill the channel.
