--- a/src/policy/admission_control.cpp
+++ b/src/policy/admission_control.cpp
@@ -13,7 +13,8 @@
 constexpr double kAlpha = 0.1;
 // Growth of a rate that is not cut, each step (the paper's beta).
 constexpr double kBeta = 0.05;
-// Further growth where all of the fleet's headroom is free: recovery should not take longer than the overload.
+// Further growth where all of the fleet's headroom is free: recovery should not take longer than the
+// overload.
 constexpr double kGrowthByHeadroom = 0.3;
 // A rate grows only while it is under this multiple of its class's throughput; beyond, it binds nobody.
 constexpr double kMostRateOverThroughput = 2;
@@ -79,13 +80,14 @@
   for (double rate : bottleneck->demand) capacity += (1 - kAlpha) * rate * success_share;
   std::vector<double> fair = max_min_shares(capacity, bottleneck->demand);
 
-  // Endpoints far slower than the rest are drained by their weights. Cuts wait until the fleet is full and slow
-  // as a whole.
+  // Endpoints far slower than the rest are drained by their weights. Cuts wait until the fleet is full and
+  // slow as a whole.
   bool fleet_overloaded = averages.headroom < kLeastHeadroom && averages.slowdown > averages.threshold;
   int overloaded_periods = bottleneck->endpoint->periods_over_threshold;
   bool cut = overloaded_periods >= kPeriodsBeforeCut && fleet_overloaded && now >= next_cut_;
   if (cut) {
-    // A cut shows only in attempts that start after it, which end a latency later: the next one waits so long.
+    // A cut shows only in attempts that start after it, which end a latency later: the next one waits so
+    // long.
     Duration reports = std::max(settings_.report_period * kPeriodsBeforeCut, estimator.report_interval());
     next_cut_ = now + (settings_.max_update_delay + reports + Duration(bottleneck->endpoint->latency));
   }
@@ -128,6 +130,7 @@
   if (settings_.admission_limit_kind == AdmissionLimitKind::share) return rate / throughput;
   double unused = rate * group.admitted[request_class] / throughput;
   std::vector<double> arrivals;
+  arrivals.reserve(group.members.size());
   for (ProxyId id : group.members) arrivals.push_back(proxies.at(id).arrivals[request_class]);
   double largest = 0;
   for (double share : max_min_shares(unused, arrivals)) {
@@ -137,9 +140,9 @@
   return largest + unused;
 }
 
-// Rule 4 where weights can't help: while all endpoints that a table may use are warming up (a local-only class
-// after a loss), its proxies admit what is guaranteed of the listed capacity that is back. The list names one
-// endpoint seconds before the rest, so that capacity counts against all that is listed.
+// Rule 4 where weights can't help: while all endpoints that a table may use are warming up (a local-only
+// class after a loss), its proxies admit what is guaranteed of the listed capacity that is back. The list
+// names one endpoint seconds before the rest, so that capacity counts against all that is listed.
 double AdmissionControl::warm_up_limit(Locality own, const ProxyGroup& group, bool local_only,
                                        const FleetView& fleet) {
   auto [share, is_new] = warm_shares_.try_emplace({own, local_only}, 1);
--- a/src/policy/channel_budget.h
+++ b/src/policy/channel_budget.h
@@ -1,11 +1,11 @@
-// Accounts for the update channel: which lines wait or travel, and which messages each proxy was sent.
+// Accounts for the update channel: which lines are queued or in flight, and which messages each proxy was sent.
 //
 // Questions: how full is the channel? How many messages did a proxy get lately?
 // Inputs: lines and messages sent, acknowledgments, another controller's share of the channel.
-// Rule: a message counts its lines and a fixed overhead until it is acknowledged, and an acknowledgment covers all
-// messages before it. What a disconnected proxy did not acknowledge leaves at the channel's rate.
+// Rule: a message counts its lines and a fixed overhead until it is acknowledged, and an acknowledgment
+// covers all messages before it. What a disconnected proxy did not acknowledge leaves at the channel's rate.
 // Reason: rule 5 limits the queued lines and the messages to one proxy in a window.
-// It counts and never decides what is sent; update_scheduler does.
+// It never decides what is sent; update_scheduler does.
 #pragma once
 
 #include <cstddef>
@@ -30,7 +30,8 @@
   // Messages to one of the proxies within the window, at most, one more included.
   [[nodiscard]] double most_messages(const std::set<ProxyId>& proxies, Time now);
 
-  // Adds lines to the proxy's message of this reply; a message has a fixed overhead and an AckRequest besides.
+  // Adds lines to the proxy's message of this reply; a message has a fixed overhead and an AckRequest
+  // besides.
   void add(ProxyId proxy, double lines);
 
   // Ends the messages of this reply; the sequence number of their AckRequest, if there are any messages.
@@ -39,7 +40,8 @@
   // The proxy has the message and all before it.
   void acknowledge(ProxyId proxy, std::uint32_t sequence_number);
 
-  // Another controller's lines in the same channel, and its messages to the same proxies: rule 5 is kept together.
+  // Another controller's lines in the same channel, and its messages to the same proxies: rule 5 is kept
+  // together.
   void apply(const SharedChannelUsage& usage, Time now);
 
   // The proxy's stream ended: nothing more is acknowledged, but what is queued takes its time to leave.
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -1,5 +1,5 @@
-// The order of the decisions in a batch and a period. Each decision, with its inputs and reason, stands in its own
-// module; this file keeps the state and decides nothing itself. The order follows docs/design.md.
+// The order of the decisions in a batch and a period. Each decision, with its inputs and reason, stands in
+// its own module; this file keeps the state and decides nothing itself. The order follows docs/design.md.
 #include "policy/controller.h"
 
 #include <iterator>
@@ -47,9 +47,9 @@
   void apply(const SharedChannelUsage& event) { budget.apply(event, now); }
   void apply(const ShardAssigned& event) { shards.apply(event); }
   void apply(const ShardHeld& event) { shards.apply(event); }
-  void apply(const TimerFired&) {}         // it only wakes: what is due goes by the time
-  void apply(const PeerMessage&) {}        // peers have no say yet
-  void apply(const ShardDemandReport&) {}  // nor has the load of shards
+  void apply(const TimerFired& /*event*/) {}         // it only wakes: what is due goes by the time
+  void apply(const PeerMessage& /*event*/) {}        // peers have no say yet
+  void apply(const ShardDemandReport& /*event*/) {}  // nor has the load of shards
 
   void run_period();
   void run_step();
@@ -196,7 +196,8 @@
 void Controller::State::assign_proxies() {
   // Started without a list, an empty table would take away what the proxies hold (rule 1).
   if (registry.endpoints().empty()) return;
-  // Many that register at once would overfill the channel (rule 5): who finds no room waits with what it holds.
+  // Many that register at once would overfill the channel (rule 5): who finds no room waits with what it
+  // holds.
   while (proxies.any_unassigned() && scheduler.may_assign(now)) {
     ProxyId id = proxies.take_unassigned();
     Proxy* proxy = proxies.find(id);
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -10,7 +10,8 @@
 namespace beamshunt {
 namespace {
 
-// Part of the subscription's lifetime after which it is renewed: before it ends, even if a renewal takes long.
+// Part of the subscription's lifetime after which it is renewed: before it ends, even if a renewal takes
+// long.
 constexpr double kRenewPart = 0.8;
 // Part of the subscription's lifetime that a backoff may last at most, as a divisor.
 constexpr double kBackoffLimitDivisor = 8;
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -3,9 +3,10 @@
 // Questions: what does an endpoint list change in the fleet's records? When is the next subscription due?
 // Inputs: endpoint lists (complete, incremental, cached, lost); times in ms.
 // Rule: a complete or cached list removes what it does not name; a new start time under a known id is a
-// restart. A subscription is renewed before its lifetime ends, and after a loss with a growing, spread backoff.
-// An endpoint that was removed long ago is forgotten once no table names it.
-// Reason: operators' rules on discovery; see the constants.
+// restart. A subscription is renewed before its lifetime ends, and after a loss with a growing, spread
+// backoff. An endpoint that was removed long ago is forgotten once no table names it.
+// Reason: all controllers lose one discovery service at once and would fail it again together. A restarted
+// endpoint keeps its learned capacity: with its listed size a slow kind would be overloaded (rule 4).
 // It never judges an endpoint's health or load.
 #pragma once
 
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -1,5 +1,5 @@
-// The fleet's records: endpoints, proxies, proxy groups and their tables. Plain data; no decision is made here.
-// Each field names the module that writes it; all others only read it.
+// The fleet's records: endpoints, proxies, proxy groups and their tables. Plain data; no decision is made
+// here. Each field names the module that writes it; all others only read it.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -9,7 +9,8 @@
 namespace beamshunt {
 namespace {
 
-// Slowdowns this near to the mean (as a ratio, less 1) leave a weight alone: differences of service, not of load.
+// Slowdowns this near to the mean (as a ratio, less 1) leave a weight alone: differences of service, not of
+// load.
 constexpr double kDeadBand = 0.25;
 // Exponent of the weight step: a weight moves a third of the way that the slowdown asks for.
 constexpr double kWeightGain = 0.3;
--- a/src/policy/load_balancer.h
+++ b/src/policy/load_balancer.h
@@ -1,10 +1,11 @@
 // Load balancing: the weight of an endpoint.
 //
 // Questions: how strongly should an endpoint be used by a locality's proxies? How is its weight corrected?
-// Inputs: listed and relative capacity, slow-start factor, ejections, slowdown against the fleet's mean (ratio).
+// Inputs: listed and relative capacity, slow-start factor, ejections, slowdown against the fleet's mean
+// (ratio).
 // Rules: effective weight = listed capacity x relative capacity x slow-start factor, 0 if not available or
-// ejected. Each step, the weight adjustment falls for endpoints slower than the mean and rises for faster ones,
-// outside a dead band, and fades towards 1.
+// ejected. Each step, the weight adjustment falls for endpoints slower than the mean and rises for faster
+// ones, outside a dead band, and fades towards 1.
 // Reason: BFAIR balances by slowdown. A step counts by the successful attempts newly reported: taken for new
 // each second, the noise of a few attempts made weights wander. An adjustment that did not fade would drain
 // an endpoint for good whose baseline chance had set low.
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "policy/common_failure.h"
+#include "policy/failure_evidence.h"
 #include "policy/smoothing.h"
 
 namespace beamshunt {
@@ -19,8 +19,8 @@
 constexpr double kLongTermAttempts = 100;
 // Successful attempts before a baseline is taken: a few say little.
 constexpr double kBaselineAttempts = 20;
-// Part of the tightest latency objective that a baseline may be: a higher one was taken under overload, as by a
-// controller that restarts in the middle of it.
+// Part of the tightest latency objective that a baseline may be: a higher one was taken under overload, as by
+// a controller that restarts in the middle of it.
 constexpr double kBaselineLimit = 0.5;
 // Report intervals without a finished attempt after which an endpoint's figures are stale.
 constexpr int kStaleIntervals = 4;
@@ -29,15 +29,13 @@
 constexpr int kStaleLoadPeriods = 8;
 // Part of the counts of attempts that remains after one report period: outcomes of a few seconds count.
 constexpr double kCountFading = 0.7;
-// Failed attempts that are evidence at all: fewer may be chance.
-constexpr double kLeastFailures = 3;
 // Least successful part of attempts that a slowdown is divided by: one endpoint can't look endlessly slow.
 constexpr double kLeastSuccessShare = 0.2;
 // Part of the tightest latency objective that queueing takes at the threshold T: work then still succeeds.
 constexpr double kThresholdPart = 0.3;
 // Milliseconds: keeps the threshold finite for a baseline near zero.
 constexpr double kLeastBaseline = 1;
-// Utilization below which a capacity can't be told: the quotient would be noise.
+// Utilization below which a capacity can't be derived: the quotient would be noise.
 constexpr double kLeastUtilization = 0.1;
 // Utilization at which an endpoint has no headroom: no core is left for the next request.
 constexpr double kFullUtilization = 0.85;
--- a/src/policy/load_estimator.h
+++ b/src/policy/load_estimator.h
@@ -1,14 +1,15 @@
 // Load estimates: rates, latencies, utilization and relative capacity of endpoints, from reports.
 //
-// Questions: how loaded is an endpoint, and the fleet? What is an endpoint's real capacity? Which figures are stale?
+// Questions: how loaded is an endpoint, and the fleet? What is an endpoint's real capacity? Which figures are
+// stale?
 // Inputs: endpoint reports (attempts, latency in ms, interval in ms) and load reports (utilization, 0 to 1).
 // Rules:
 //  - rates are smoothed by the time that a report covers, latencies by the number of attempts;
 //  - slowdown = latency over baseline, divided by the successful part of attempts;
 //  - an endpoint without a report for several report intervals is stale and has no say in averages;
 //  - relative capacity = successful rate over utilization, compared with the fleet's mean.
-// Reasons: BFAIR compares slowdowns (Retro, NSDI 2015, section 5.1). Failed attempts count as waiting, lest an
-// endpoint that rejects work or answers errors quickly look fast and idle. Listed sizes are rough. Many
+// Reasons: BFAIR compares slowdowns (Retro, NSDI 2015, section 5.1). Failed attempts count as waiting, lest
+// an endpoint that rejects work or answers errors quickly look fast and idle. Listed sizes are rough. Many
 // endpoints and proxies share one intake of reports, so that an endpoint is reported every few seconds.
 // It never changes a weight, a limit or the state of an endpoint.
 #pragma once
--- a/src/policy/max_min_fairness.h
+++ b/src/policy/max_min_fairness.h
@@ -12,7 +12,8 @@
 
 namespace beamshunt {
 
-// The share of each demand, in the order of `demand` and in its unit. A negative capacity or demand counts as 0.
+// The share of each demand, in the order of `demand` and in its unit. Negative values
+// count as 0.
 [[nodiscard]] std::vector<double> max_min_shares(double capacity, const std::vector<double>& demand);
 
 }  // namespace beamshunt
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -4,13 +4,11 @@
 #include <cmath>
 #include <string>
 
-#include "policy/common_failure.h"
+#include "policy/failure_evidence.h"
 
 namespace beamshunt {
 namespace {
 
-// Failed attempts that are evidence at all: fewer may be chance.
-constexpr double kLeastFailures = 3;
 // False-positive probability below which a run of failures is evidence.
 constexpr double kFalsePositiveProbability = 0.001;
 // Report periods without a success that make failures the sign of a dead endpoint.
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,13 +1,14 @@
 // Outlier detection: ejection, readmission, and the health checks to send.
 //
-// Questions: why is an endpoint ejected for a locality's proxies, and when does it return? Which endpoints need
-// a health check?
+// Questions: why is an endpoint ejected for a locality's proxies, and when does it return? Which endpoints
+// need a health check?
 // Inputs: attempts by path (fading counts, failures since the last success), health check results in a row,
 // the time between reports (ms), listed capacities.
 // Rules:
-//  - ejected if attempts fail and none succeeded for two periods: enough failures by the fading count, or a run
-//    of failures whose false-positive probability at the others' failure rate is below one in a thousand;
-//  - ejected in its own locality, too, if health checks fail that others there answer and a due report is missing;
+//  - ejected if attempts fail and none succeeded for two periods: enough failures by the fading count, or a
+//    run of failures whose false-positive probability at the others' failure rate is below one in a thousand;
+//  - ejected in its own locality, too, if health checks fail that others there answer and a due report is
+//    missing;
 //  - never while the others fail as well (a common cause), and never so that less than 40% of the listed
 //    capacity is left;
 //  - readmitted after a time that doubles with each relapse, once health checks succeed.
--- a/src/policy/proxy_registry.h
+++ b/src/policy/proxy_registry.h
@@ -2,8 +2,8 @@
 //
 // Questions: which proxies are there, and which still wait for their tables? How much do they admit?
 // Inputs: registrations with an expected rate and demand reports (requests, interval in ms).
-// Rules: a proxy of unknown rate counts as average. Arrivals are smoothed. A proxy admits its arrivals, at most
-// its published limit; before its first report, what it announced.
+// Rules: a proxy of unknown rate counts as average. Arrivals are smoothed. A proxy admits its arrivals, at
+// most its published limit; before its first report, what it announced.
 // Reason: counted as idle, the load of proxies that register after a loss would seem not to need other
 // localities, and would stay on warming local endpoints (rule 4).
 // It never limits a proxy and never chooses its tables.
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -2,14 +2,16 @@
 
 #include <algorithm>
 
-#include "policy/common_failure.h"
+#include "policy/failure_evidence.h"
 
 namespace beamshunt {
 namespace {
 
-// Mean slowdown (ratio to the baseline) above which the fleet is loaded: a retry would wait in the same queues.
+// Mean slowdown (ratio to the baseline) above which the fleet is loaded: a retry would wait in the same
+// queues.
 constexpr double kLoadedSlowdown = 2;
-// Mean utilization (part of capacity) above which the fleet is loaded: there is no capacity for second attempts.
+// Mean utilization (part of capacity) above which the fleet is loaded: there is no capacity for second
+// attempts.
 constexpr double kLoadedUtilization = 0.8;
 
 }  // namespace
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -3,12 +3,12 @@
 // Question: which retry mode does a class get?
 // Inputs: the class's semantics, the fleet's mean slowdown (ratio) and failed part of attempts, the mean
 // utilization of localities (part of capacity), whether any class is limited.
-// Rule: never while failures are common; only with proof while the fleet is loaded or nothing is known yet; once
-// for idempotent classes otherwise.
+// Rule: never while failures are common; only with proof while the fleet is loaded or nothing is known yet;
+// once for idempotent classes otherwise.
 // Reasons: rule 2 (a request must not run twice) and retry storms. What fails everywhere finds no better
 // endpoint, so that a retry only adds load; retries would double what comes to warming endpoints (rule 4).
-// It never trusts idempotency keys: tables span cells, and a request could meet an endpoint that does not know
-// its key.
+// It never trusts idempotency keys: tables span cells, and a request could meet an endpoint that does not
+// know its key.
 #pragma once
 
 #include <optional>
--- a/src/policy/shard_assignment.h
+++ b/src/policy/shard_assignment.h
@@ -1,11 +1,11 @@
 // Shard assignment: owners of shards, in sharded deployments.
 //
 // Question: which endpoint owns a shard?
-// Inputs: shards assigned to this controller and their present owners; endpoints with listed capacity (relative)
-// and slow-start factor; Settings::lease, lease_settle_time and max_update_delay (ms).
+// Inputs: shards assigned to this controller and their present owners; endpoints with listed capacity
+// (relative) and slow-start factor; Settings::lease, lease_settle_time and max_update_delay (ms).
 // Rule: an owner that is not available any more loses the shard. A shard without an owner gets the available
-// endpoint with the fewest shards for its capacity, a warmed-up one first. Where a shard has a single writer, it
-// is stopped and moves once its former owner must have ended.
+// endpoint with the fewest shards for its capacity, a warmed-up one first. Where a shard has a single writer,
+// it is stopped and moves once its former owner must have ended.
 // Reason: two writers of one shard would lose data, so a former owner's lease has to run out first.
 // It never moves a shard from an endpoint that is available.
 #pragma once
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "policy/common_failure.h"
+#include "policy/failure_evidence.h"
 
 namespace beamshunt {
 namespace {
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,13 +1,13 @@
 // Slow start: what a starting or readmitted endpoint gets.
 //
 // Question: which part of its capacity may an endpoint that is warming up be sent?
-// Inputs: its listed start time and its readmission, Settings::initial_capacity (part) and warm_up_time (ms); the
-// fleet's failed part of attempts, capacity and load (requests a second) as of the last publication.
-// Rule: the slow-start factor grows linearly from the initial capacity to 1 over the warm-up time; over half of
-// it after readmission. Under overload the factor falls with the fleet's capacity over its load, and nothing
-// is sent to a warming endpoint while failures are common.
-// Reason: rule 4 (a warming endpoint may get only a multiple of its capacity). A fleet's overload would come to
-// a cold endpoint too, and reports of a sudden load are seconds late.
+// Inputs: its listed start time and its readmission, Settings::initial_capacity (part) and warm_up_time (ms);
+// the fleet's failed part of attempts, capacity and load (requests a second) as of the last publication.
+// Rule: the slow-start factor grows linearly from the initial capacity to 1 over the warm-up time; over half
+// of it after readmission. Under overload the factor falls with the fleet's capacity over its load, and
+// nothing is sent to a warming endpoint while failures are common.
+// Reason: rule 4 (a warming endpoint may get only a multiple of its capacity). A fleet's overload would come
+// to a warming endpoint too, and reports of a sudden load are seconds late.
 // It never ejects or readmits an endpoint.
 #pragma once
 
--- a/src/policy/subsetter.cpp
+++ b/src/policy/subsetter.cpp
@@ -12,7 +12,8 @@
 constexpr double kBandRatio = 4;
 // Entries of a table, at least, however seldom its proxies send: some endpoints may fail.
 constexpr double kLeastEntries = 8;
-// Subsetting rounds: tables of a band that hold one endpoint, so that losing a subset's proxies idles none.
+// Subsetting rounds, that is, tables of a band that hold one endpoint: with two, subsets overlap, and the
+// load that one table's proxies bring can be balanced by another's.
 constexpr int kRounds = 2;
 // Passes that balance shared endpoints: further ones change little.
 constexpr int kBalancingPasses = 3;
--- a/src/policy/subsetter.h
+++ b/src/policy/subsetter.h
@@ -1,13 +1,13 @@
 // Subsetting: which endpoints a proxy group's table holds, and which subset a proxy joins.
 //
 // Questions: how many tables do the proxies of a locality and rate band share? Which entries has each?
-// Inputs: expected rates (requests a second), the idle time after which proxies close connections (ms), the queue
-// limit of the update channel (lines), the weights of the locality.
+// Inputs: expected rates (requests a second), the idle time after which proxies close connections (ms), the
+// queue limit of the update channel (lines), the weights of the locality.
 // Rule: a table holds no more entries than its proxies can keep connections open for, nor than lets all
 // proxies be assigned with one queue full of updates. Where that is less than all endpoints, each subsetting
-// round cuts the shuffled order of each locality's endpoints into subsets, one a table. A proxy joins the subset
-// with the least expected rate. Tables that share endpoints are then balanced: each entry is scaled by its
-// endpoint's due load over what all tables together would send to it.
+// round cuts the shuffled order of each locality's endpoints into subsets, one a table. A proxy joins the
+// subset with the least expected rate. Tables that share endpoints are then balanced: each entry is scaled by
+// its endpoint's due load over what all tables together would send to it.
 // Reason: connections that close for idleness make each request pay a handshake; rule 5 limits the queue.
 // It never moves a proxy that was assigned, and never changes an endpoint's own weight.
 #pragma once
--- a/src/policy/update_scheduler.cpp
+++ b/src/policy/update_scheduler.cpp
@@ -15,7 +15,8 @@
 constexpr double kLeastValue = 1e-9;
 // Part of its published weight to which an entry has to fall for a priority update: an endpoint restarted.
 constexpr double kPriorityFall = 0.5;
-// Parts of the queue (Settings::max_queued_lines) that each kind may fill: what is more pressing finds room left.
+// Parts of the queue (Settings::max_queued_lines) that each kind may fill: what is more pressing finds room
+// left.
 constexpr double kPriorityQueuePart = 0.7;
 constexpr double kAssignmentQueuePart = 0.6;
 constexpr double kOrdinaryQueuePart = 0.4;
--- a/src/policy/update_scheduler.h
+++ b/src/policy/update_scheduler.h
@@ -1,16 +1,17 @@
 // Update scheduling: what is published now.
 //
-// Questions: which group's tables are updated in this reply, with which entries? May another proxy be assigned?
-// Inputs: desired and published weights and limits, lines queued in the channel, messages in the window, times
-// of the last updates (ms).
+// Questions: which group's tables are updated in this reply, with which entries? May another proxy be
+// assigned?
+// Inputs: desired and published weights and limits, lines queued in the channel, messages in the window,
+// times of the last updates (ms).
 // Rules:
-//  - entries that must go or at least halve (draining, removed, ejected, warming endpoints) and entries in their
-//    place are priority updates and go first; all else is ordinary and goes at most once a period;
-//  - priority updates, assignments and ordinary updates each may fill their part of the queue; a write stops where
-//    it is full and goes on later;
+//  - entries that must go or at least halve (draining, removed, ejected, warming endpoints) and entries in
+//    their place are priority updates and go first; all else is ordinary and goes at most once a period;
+//  - priority updates, assignments and ordinary updates each may fill their part of the queue; a write stops
+//    where it is full and goes on later;
 //  - groups that waited longest are written first;
-//  - while a removal waits for room, no proxy is assigned; while proxies wait, entries in place of removed ones
-//    wait, unless under half of a table is left.
+//  - while a removal waits for room, no proxy is assigned; while proxies wait, entries in place of removed
+//    ones wait, unless under half of a table is left.
 // Reasons: rules 3 (drains) and 4 (warm-up) can't wait for the ordinary pace; rule 5 limits the queue and the
 // messages. Where many proxies register as endpoints drain, assignments that fill the channel as it empties
 // would keep out the removals for all of them.
