--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -131,7 +131,7 @@
     log(log::Level::info, "proxy_left",
         {{"proxy", std::to_string(stream.id)}, {"peer", net::to_string(stream.address)}, {"reason", reason}});
     proxies_.erase(proxy);
-    for (auto& [number, module] : modules_) module.tables.leave(proxy);
+    for (auto& [number, module] : modules_) module.tables.remove_proxy(proxy);
     intake_.forget(proxy);
     open_.erase(proxy);
     tell(ProxyDisconnected{proxy});
@@ -240,7 +240,7 @@
                               .heartbeat_ms = site_.heartbeat,
                               .report_period_ms = site_.policy.report_period.count()},
              now);
-  modules_.rbegin()->second.tables.join(proxy);
+  modules_.rbegin()->second.tables.register_proxy(proxy);
   modules_.rbegin()->second.pending.push_back(
       ProxyRegistered{proxy, Locality(*locality), hello.usual_rate, hello.only_standing});
 }
@@ -341,26 +341,28 @@
 }
 
 // A proxy obeys one module: what another one says to it is of a time that is over.
-void Core::write(std::uint32_t module, ProxyId proxy, const orders::Order& order) {
+void Core::write(std::uint32_t module, ProxyId proxy, const assignments::Update& order) {
   auto joined = proxies_.find(proxy);
   if (joined == proxies_.end() || streams_.at(joined->second).owner != module) return;
   struct OnWire {
     const Core& core;
     std::uint32_t module;
     using Order = channel::Order;
-    Order operator()(const orders::BindTo& x) {
+    Order operator()(const assignments::TableAssigned& x) {
       return channel::BindOrder{x.classes, on_wire(module, x.table)};
     }
-    Order operator()(const orders::LineOf& x) {
+    Order operator()(const assignments::WeightChanged& x) {
       return core.line_of(on_wire(module, x.table), raw(x.endpoint), x.weight);
     }
-    Order operator()(const orders::EmptyTable& x) { return channel::ResetOrder{on_wire(module, x.table)}; }
-    Order operator()(const orders::LevelOf& x) {
-      return channel::AdmitOrder{x.every_table ? channel::kEveryTable : on_wire(module, x.table), x.classes,
-                                 x.level.first, static_cast<std::uint8_t>(x.level.second)};
+    Order operator()(const assignments::TableCleared& x) {
+      return channel::ResetOrder{on_wire(module, x.table)};
     }
-    Order operator()(const orders::ShutOut& x) {
-      return channel::WithdrawOrder{raw(x.endpoint), x.withdrawn};
+    Order operator()(const assignments::LimitChanged& x) {
+      return channel::AdmitOrder{x.all_tables ? channel::kEveryTable : on_wire(module, x.table), x.classes,
+                                 x.limit.limit, static_cast<std::uint8_t>(x.limit.retry_mode)};
+    }
+    Order operator()(const assignments::EndpointExcluded& x) {
+      return channel::WithdrawOrder{raw(x.endpoint), x.excluded};
     }
   };
   open_[proxy].push_back(std::visit(OnWire{*this, module}, order));
@@ -374,18 +376,18 @@
   if (owner >= number) return;
   auto former = modules_.find(std::exchange(owner, number));
   if (former == modules_.end()) return;
-  former->second.tables.leave(proxy);
+  former->second.tables.remove_proxy(proxy);
   former->second.pending.push_back(ProxyDisconnected{proxy});
 }
 
 void Core::count_cuts(const Module& module, const SetAdmissionLimit& x) {
-  static const std::map<ClassId, orders::Level> none;
-  auto table = module.tables.all().find(x.table);
-  auto& had = x.all_tables                         ? module.tables.for_all_tables()
-              : table != module.tables.all().end() ? table->second.levels
-                                                   : none;
+  static const std::map<ClassId, assignments::AdmissionLimit> none;
+  auto table = module.tables.tables().find(x.table);
+  auto& had = x.all_tables                            ? module.tables.limits_for_all_tables()
+              : table != module.tables.tables().end() ? table->second.limits
+                                                      : none;
   for (auto& [c, level] : had)
-    if ((x.classes == 0 || x.classes >> raw(c) & 1) && x.limit < level.first) ++cuts_[raw(c)];
+    if ((x.classes == 0 || x.classes >> raw(c) & 1) && x.limit < level.limit) ++cuts_[raw(c)];
 }
 
 void Core::act(Ms now, std::uint32_t number, Module& module, const std::vector<Action>& actions) {
@@ -394,7 +396,7 @@
     Ms now;
     std::uint32_t number;
     Module& module;
-    const orders::Tables::Write write;
+    const assignments::AssignmentTables::WriteUpdate write;
     void operator()(const Subscribe& x) {
       core.watching_ = x.active;
       if (x.active) core.effects_.push_back(OpenWatch{});
@@ -440,7 +442,7 @@
     }
   };
   Doing doing{*this, now, number, module,
-              [&](ProxyId proxy, const orders::Order& order) { write(number, proxy, order); }};
+              [&](ProxyId proxy, const assignments::Update& order) { write(number, proxy, order); }};
   for (const Action& action : actions) std::visit(doing, action);
   counters_.actions += actions.size();
 }
@@ -615,7 +617,7 @@
       EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_less_now_ + now)});
   for (auto& [proxy, id] : proxies_) {
     Stream& s = streams_.at(id);
-    module.tables.join(proxy);
+    module.tables.register_proxy(proxy);
     module.others_sent[proxy] = static_cast<int>(spent(s, now, site_.policy.message_window.count()));
     module.pending.push_back(
         ProxyRegistered{proxy, Locality{site_.locality_of.find(s.address.ip).value_or(0)}, s.usual, false});
@@ -731,8 +733,8 @@
       if (m.removes) oldest = std::max(oldest, now - m.decided);
   for (auto& [endpoint, since] : closed_)
     for (auto& [module_number, module] : modules_)
-      for (auto& [id, table] : module.tables.all())
-        if (!table.users.empty() && table.lines.contains(EndpointId{endpoint}))
+      for (auto& [id, table] : module.tables.tables())
+        if (!table.proxies.empty() && table.weights.contains(EndpointId{endpoint}))
           oldest = std::max(oldest, now - since);
   return oldest / site_.policy.drain_grace_period.count();
 }
@@ -747,9 +749,9 @@
   Ms emptiest = 0;
   std::set<ProxyId> lacking;  // bound to a table that has no lines
   for (auto& [number, module] : modules_)
-    for (auto& [id, table] : module.tables.all())
-      if (table.lines.empty())
-        for (auto& [proxy, classes] : table.users) lacking.insert(proxy);
+    for (auto& [id, table] : module.tables.tables())
+      if (table.weights.empty())
+        for (auto& [proxy, classes] : table.proxies) lacking.insert(proxy);
   for (auto& [proxy, id] : proxies_) {
     Stream& s = streams_.at(id);
     if (!s.unconfirmed.empty())
@@ -774,11 +776,11 @@
     telemetry::Figures::Level level{site_.class_names[c],
                                     p.admission_limit_kind == AdmissionLimitKind::rate ? 1e6 : 1, cuts_[c]};
     for (auto& [number, module] : modules_)
-      for (auto& [id, table] : module.tables.all())
-        if (auto l = table.levels.find(ClassId{c}); l != table.levels.end()) {
-          level.lowest = std::min(level.lowest, l->second.first);
+      for (auto& [id, table] : module.tables.tables())
+        if (auto l = table.limits.find(ClassId{c}); l != table.limits.end()) {
+          level.lowest = std::min(level.lowest, l->second.limit);
           unproven |= p.classes[c].semantics != Semantics::idempotent &&
-                      l->second.second > RetryMode::if_not_processed;
+                      l->second.retry_mode > RetryMode::if_not_processed;
         }
     f.levels.push_back(std::move(level));
   }
@@ -817,15 +819,15 @@
                      {"unknown_endpoints", counters_.unknown_endpoints}};
   nlohmann::json tables = nlohmann::json::object();
   for (auto& [number, module] : modules_)
-    for (auto& [id, table] : module.tables.all()) {
+    for (auto& [id, table] : module.tables.tables()) {
       nlohmann::json lines = nlohmann::json::object();
-      for (auto& [endpoint, weight] : table.lines) lines[std::to_string(raw(endpoint))] = weight;
+      for (auto& [endpoint, weight] : table.weights) lines[std::to_string(raw(endpoint))] = weight;
       nlohmann::json levels = nlohmann::json::object();
-      for (auto& [c, level] : table.levels)
-        levels[site_.class_names[raw(c)]] = {{"level", level.first},
-                                             {"retry", static_cast<int>(level.second)}};
+      for (auto& [c, level] : table.limits)
+        levels[site_.class_names[raw(c)]] = {{"level", level.limit},
+                                             {"retry", static_cast<int>(level.retry_mode)}};
       tables[std::to_string(on_wire(number, id))] = {
-          {"users", table.users.size()}, {"lines", lines}, {"levels", levels}};
+          {"users", table.proxies.size()}, {"lines", lines}, {"levels", levels}};
     }
   out["tables"] = tables;
   return out.dump();
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -18,9 +18,9 @@
 #include "assigner/intake.h"
 #include "assigner/list_feed.h"
 #include "assigner/site.h"
+#include "assignments/assignment_tables.h"
 #include "channel/frames.h"
 #include "log/log.h"
-#include "orders/tables.h"
 #include "telemetry/figures.h"
 
 namespace beamshunt::assigner {
@@ -162,7 +162,7 @@
   struct Module {
     explicit Module(const Settings& settings) : controller(settings), tables(settings.classes.size()) {}
     Controller controller;
-    orders::Tables tables;
+    assignments::AssignmentTables tables;
     std::vector<Event> pending;
     std::multimap<Ms, std::uint64_t> timers;
     std::map<ProxyId, int> others_sent;  // messages of others since the last ChannelShared
@@ -196,7 +196,7 @@
   void run(std::uint32_t number, Module& module, Ms now);
   void retire();
   void act(Ms now, std::uint32_t number, Module& module, const std::vector<Action>& actions);
-  void write(std::uint32_t module, ProxyId proxy, const orders::Order& order);
+  void write(std::uint32_t module, ProxyId proxy, const assignments::Update& order);
   channel::LineOrder line_of(std::uint32_t table, std::uint32_t endpoint, double weight) const;
   void take_over(std::uint32_t number, ProxyId proxy);
   void count_cuts(const Module& module, const SetAdmissionLimit& admit);
--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -159,7 +159,7 @@
     log(log::Level::info, "proxy_left", {{"proxy", std::to_string(raw(proxy))}, {"reason", reason}});
     streams_.erase(proxy);
     open_.erase(proxy);
-    tables_->leave(proxy);
+    tables_->remove_proxy(proxy);
     pending_.push_back(ProxyDisconnected{proxy});
   }
   connections_.erase(c);
@@ -202,7 +202,7 @@
 }
 
 void Core::join(const ProxyRegistration& m) {
-  tables_->join(m.proxy);
+  tables_->register_proxy(m.proxy);
   pending_.push_back(ProxyRegistered{m.proxy, m.locality, m.usual_rate, m.only_standing});
 }
 
@@ -360,7 +360,7 @@
 void Core::start_module() {
   ++module_;
   controller_ = std::make_unique<Controller>(configuration_.settings);
-  tables_ = std::make_unique<orders::Tables>(configuration_.settings.classes.size());
+  tables_ = std::make_unique<assignments::AssignmentTables>(configuration_.settings.classes.size());
   pending_.clear(), timers_.clear(), probing_.clear();
   pending_.push_back(EndpointList{EndpointListKind::cached, directory_.all()});
   reopen_ |= !configuration_.settings.endpoint_list_by_subscription && !watch_.any();
@@ -407,11 +407,11 @@
 
 void Core::act(const std::vector<Action>& actions, Ms now) {
   std::optional<std::uint32_t> serial;
-  auto write_to = [this](ProxyId proxy, const orders::Order& order) { write(proxy, order); };
+  auto write_to = [this](ProxyId proxy, const assignments::Update& order) { write(proxy, order); };
   struct Doing {
     Core& core;
     std::optional<std::uint32_t>& serial;
-    const orders::Tables::Write write;
+    const assignments::AssignmentTables::WriteUpdate write;
     void operator()(const Subscribe& x) {
       if (!x.active) core.reopen_ = false, core.close_watches(core.watch_.close_all());
       else if (!core.watch_.any()) core.open_watch();  // one that lives tells all that a new one would
@@ -466,43 +466,45 @@
 
 void Core::write_levels(ProxyId proxy, TableId table, ClassMask classes) {
   for (std::uint32_t c = 0; (classes >> c) != 0; ++c) {
-    auto level = classes >> c & 1 ? tables_->effective(table, ClassId{c}) : std::nullopt;
+    auto level = classes >> c & 1 ? tables_->effective_limit(table, ClassId{c}) : std::nullopt;
     if (!level) continue;
     Part& part = part_for(open_[proxy], bit(ClassId{c}), [](const Part& p) { return p.replace || p.level; });
-    part.level = {level->first, static_cast<int>(level->second)};
+    part.level = {level->limit, static_cast<int>(level->retry_mode)};
   }
 }
 
-void Core::write(ProxyId proxy, const orders::Order& order) {
+void Core::write(ProxyId proxy, const assignments::Update& order) {
   struct Writing {
     Core& core;
     ProxyId proxy;
     std::vector<Part>& parts;
-    void operator()(const orders::BindTo& x) { parts.push_back(Part{.classes = x.classes, .replace = true}); }
-    void operator()(const orders::EmptyTable& x) {
-      ClassMask classes = core.tables_->bound(proxy, x.table);
+    void operator()(const assignments::TableAssigned& x) {
+      parts.push_back(Part{.classes = x.classes, .replace = true});
+    }
+    void operator()(const assignments::TableCleared& x) {
+      ClassMask classes = core.tables_->classes_using(proxy, x.table);
       parts.push_back(Part{.classes = classes, .replace = true});
       core.write_levels(proxy, x.table, classes);  // what holds for all tables outlives the table's own
     }
-    void operator()(const orders::LineOf& x) {
+    void operator()(const assignments::WeightChanged& x) {
       const std::string* uid = core.directory_.uid(x.endpoint);
       if (!uid) return;
-      Part& part = part_for(parts, core.tables_->bound(proxy, x.table),
+      Part& part = part_for(parts, core.tables_->classes_using(proxy, x.table),
                             [](const Part& p) { return p.replace || !p.rows.empty(); });
       auto same = std::find_if(part.rows.begin(), part.rows.end(), [&](auto& r) { return r.first == *uid; });
       if (same != part.rows.end()) same->second = x.weight;
       else part.rows.emplace_back(*uid, x.weight);
     }
-    void operator()(const orders::LevelOf& x) {
-      if (!x.every_table)
-        return core.write_levels(proxy, x.table, x.classes & core.tables_->bound(proxy, x.table));
-      for (TableId table : core.tables_->used_by(proxy))
-        core.write_levels(proxy, table, x.classes & core.tables_->bound(proxy, table));
+    void operator()(const assignments::LimitChanged& x) {
+      if (!x.all_tables)
+        return core.write_levels(proxy, x.table, x.classes & core.tables_->classes_using(proxy, x.table));
+      for (TableId table : core.tables_->tables_of(proxy))
+        core.write_levels(proxy, table, x.classes & core.tables_->classes_using(proxy, table));
     }
-    void operator()(const orders::ShutOut& x) {
+    void operator()(const assignments::EndpointExcluded& x) {
       if (const std::string* uid = core.directory_.uid(x.endpoint)) {
         Part& part = parts.emplace_back();
-        (x.withdrawn ? part.drop : part.undrop).push_back(*uid);
+        (x.excluded ? part.drop : part.undrop).push_back(*uid);
       }
     }
   };
@@ -600,10 +602,10 @@
   for (const ListedEndpoint& e : directory_.all()) {
     View& v = view_[e.id];
     double share = 0, answered = v.tries - v.failed;  // of the lines of all tables in use
-    for (auto& [id, table] : tables_->all()) {
+    for (auto& [id, table] : tables_->tables()) {
       double all = 0;
-      for (auto& [endpoint, weight] : table.lines) all += weight;
-      if (auto line = table.lines.find(e.id); line != table.lines.end() && !table.users.empty())
+      for (auto& [endpoint, weight] : table.weights) all += weight;
+      if (auto line = table.weights.find(e.id); line != table.weights.end() && !table.proxies.empty())
         share += line->second / all;
     }
     seen.emplace_back(
--- a/src/platform/core.h
+++ b/src/platform/core.h
@@ -12,8 +12,8 @@
 #include <variant>
 #include <vector>
 
+#include "assignments/assignment_tables.h"
 #include "log/log.h"
-#include "orders/tables.h"
 #include "platform/configuration.h"
 #include "platform/directory.h"
 #include "platform/list_watch.h"
@@ -143,7 +143,7 @@
   void start_module();
   void join(const ProxyRegistration& joined);
   void act(const std::vector<Action>& actions, Ms now);
-  void write(ProxyId proxy, const orders::Order& order);
+  void write(ProxyId proxy, const assignments::Update& order);
   void write_levels(ProxyId proxy, TableId table, ClassMask classes);
   void send_messages(std::optional<std::uint32_t> serial, Ms now);
   bool list_object(std::string_view json, Ms now, double wall_now);
@@ -157,7 +157,7 @@
   Directory directory_;
   ListWatch watch_;
   std::unique_ptr<Controller> controller_;
-  std::unique_ptr<orders::Tables> tables_;
+  std::unique_ptr<assignments::AssignmentTables> tables_;
   std::vector<Event> pending_;
   std::multimap<Ms, std::uint64_t> timers_;
   Connections connections_;
