--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -18,7 +18,7 @@
 #include "base/worker.h"
 #include "http/numbers.h"
 #include "http/server.h"
-#include "probe/outcome.h"
+#include "health_check/http_outcome.h"
 
 namespace beamshunt::assigner {
 
@@ -225,7 +225,7 @@
     Ms asked = reactor_.now();
     client_.ask(e.address, http::request("GET", "/probe"), site_.probe_timeout,
                 [this, asked, endpoint = e.endpoint](http::Client::Answer&& answer) {
-                  core_.probe_answered(endpoint, probe::outcome_of(answer), reactor_.now() - asked,
+                  core_.probe_answered(endpoint, health_check::outcome_of(answer), reactor_.now() - asked,
                                        http::parse_numbers(answer.message.body), reactor_.now());
                   soon();
                 });
--- /dev/null
+++ b/src/health_check/http_outcome.h
@@ -0,0 +1,32 @@
+// What the HTTP answer to a health check says of the endpoint, in the decision module's terms. Pure.
+#pragma once
+
+#include "http/server.h"
+#include "policy/controller.h"
+
+namespace beamshunt::health_check {
+
+constexpr int kOk = 200;
+constexpr int kServiceUnavailable = 503;
+
+// The outcome of one health check. A status other than 200 is an error of the application, but for 503: the
+// endpoint sheds load.
+inline AttemptOutcome outcome_of(const http::Client::Answer& answer) {
+  switch (answer.failure) {
+    case http::Client::Failure::connect:
+      return AttemptOutcome::connect_failed;
+    case http::Client::Failure::timed_out:
+      return AttemptOutcome::timed_out;
+    case http::Client::Failure::broken:
+      return AttemptOutcome::connection_lost;
+    case http::Client::Failure::malformed:
+      return AttemptOutcome::application_error;
+    case http::Client::Failure::none:
+      break;
+  }
+  if (answer.message.status == kOk) return AttemptOutcome::success;
+  return answer.message.status == kServiceUnavailable ? AttemptOutcome::rejected
+                                                      : AttemptOutcome::application_error;
+}
+
+}  // namespace beamshunt::health_check
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -15,7 +15,7 @@
 #include "log/log.h"
 #include "net/reactor.h"
 #include "platform/core.h"
-#include "probe/outcome.h"
+#include "health_check/http_outcome.h"
 
 namespace beamshunt::platform {
 namespace {
@@ -185,7 +185,7 @@
                   http::request("GET", due_.front().for_load ? "/-/load" : "/-/healthy"), kProbeWithin,
                   [this, begun, e = due_.front()](http::Client::Answer&& answer) {
                     --asked_;
-                    core_.probe_answered(e.endpoint, e.number, probe::outcome_of(answer),
+                    core_.probe_answered(e.endpoint, e.number, health_check::outcome_of(answer),
                                          reactor_.now() - begun, answer.message.body);
                     probe();
                     soon();
--- a/src/policy/controller.h
+++ b/src/policy/controller.h
@@ -19,7 +19,8 @@
   Controller(Controller&&) noexcept;
   Controller& operator=(Controller&&) noexcept;
 
-  // Handles a batch of events that came by `now`, and decides what is due. Times may not go back between calls.
+  // Handles a batch of events that came by `now`, and decides what is due. Times may not go back
+  // between calls.
   std::vector<Action> handle(Time now, const std::vector<Event>& events);
 
  private:
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,7 @@
-// The settings that an instance starts with, as path=value texts whatever brought them: one reader for the
-// simulator's wire and for a configuration. It builds without the program's libraries.
+// Reads the settings that a controller starts with from path=value texts, whatever brought them: the
+// simulator's
+// first message or the platform's configuration. It builds without the program's libraries and performs
+// no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +16,34 @@
 
 namespace beamshunt::settings {
 
-// What is wrong with the input, in plain words, by its name.
+// An input that can't be used: what() says which item it is, what is wrong with it and, if there is one,
+// its value.
 struct InputError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+  explicit InputError(const std::string& message) : std::runtime_error(message) {}
+  // `subject`: the setting or field; `problem`: what is wrong, such as "is not a number"; `text`: its value.
+  InputError(std::string_view subject, std::string_view problem, std::string_view text)
+      : std::runtime_error(std::string(subject) + " " + std::string(problem) + ": '" + std::string(text) +
+                           "'") {}
 };
 
-// Names of localities and classes as one instance's settings give them.
+// Names of localities and request classes, by position, as the settings give them.
 struct Names {
-  std::vector<std::string> localities, classes;
+  std::vector<std::string> localities;
+  std::vector<std::string> classes;
 };
+// The position of a name. Throws InputError for a name that is not among the settings.
 Locality locality(const Names& names, std::string_view name);
 ClassId request_class(const Names& names, std::string_view name);
 
-using Values = std::map<std::string, std::string>;  // by path, such as classes.0.slo
+// Texts by path, such as "classes.0.slo".
+using Values = std::map<std::string, std::string>;
 
-// "path=value path=value": throws InputError at a pair that is none.
-Values pairs(std::string_view text);
-// Unknown paths are skipped; a needed one that is missing or unusable is an InputError that names it.
+// Reads "path=value path=value". Throws InputError for a part that is not of this form.
+Values parse_pairs(std::string_view text);
+
+// Reads the settings. Unknown paths are skipped. Throws InputError naming a needed path that is missing
+// or whose
+// value can't be used. Durations are in milliseconds.
 std::pair<Settings, Names> parse(std::uint64_t seed, const Values& values);
 
 }  // namespace beamshunt::settings
--- a/src/bench/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -2,12 +2,12 @@
 #include <exception>
 #include <iostream>
 
-#include "bench/session.h"
+#include "simulator_adapter/session.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  beamshunt::wire::Session session(std::cin, std::cout);
+  beamshunt::simulator_adapter::Session session(std::cin, std::cout);
   try {
     session.run();
   } catch (const std::exception& error) {
--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -6,7 +6,7 @@
 #include <numeric>
 #include <random>
 
-#include "bench/codec.h"
+#include "simulator_adapter/codec.h"
 #include "policy/fairness.h"
 #include "policy/fleet.h"
 
@@ -956,7 +956,7 @@
     for (int i = 0; i < 60; ++i) {
       f.period(i < 20 ? all_fine : all_jammed, 40, 10);
       for (const Action& a : f.last)
-        if (!std::holds_alternative<SetTimer>(a)) wire::append_action(text, "assigner_0", a);
+        if (!std::holds_alternative<SetTimer>(a)) simulator_adapter::append_action(text, "assigner_0", a);
     }
     return text;
   };
--- a/tests/bench/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 #include <sstream>
 
-#include "bench/session.h"
+#include "simulator_adapter/session.h"
 
-namespace beamshunt::wire {
+namespace beamshunt::simulator_adapter {
 namespace {
 
 const std::string kSettings =
@@ -210,4 +210,4 @@
 }
 
 }  // namespace
-}  // namespace beamshunt::wire
+}  // namespace beamshunt::simulator_adapter
