--- a/src/experiment/chart.cpp
+++ b/src/experiment/chart.cpp
@@ -81,9 +81,9 @@
   }
 
   cairo_t* pen() const { return pen_.get(); }
-  void ink(double grey = kInk) { cairo_set_source_rgb(pen(), grey, grey, grey); }
-  void ink(const Colour& c, double alpha = 1) { cairo_set_source_rgba(pen(), c.r, c.g, c.b, alpha); }
-  void stroke(double x0, double y0, double x1, double y1) {
+  void ink(double grey = kInk) const { cairo_set_source_rgb(pen(), grey, grey, grey); }
+  void ink(const Colour& c, double alpha = 1) const { cairo_set_source_rgba(pen(), c.r, c.g, c.b, alpha); }
+  void stroke(double x0, double y0, double x1, double y1) const {
     cairo_move_to(pen(), x0, y0), cairo_line_to(pen(), x1, y1), cairo_stroke(pen());
   }
   // `x_part`, `y_part`: where of the text the point is, 0 left or top, 1 right or bottom.
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -145,17 +145,17 @@
 
 void Parser::start_line(std::string_view text) {
   if (has_control(text)) fail(400, "a control character in the first line");
-  std::size_t first = text.find(' '), second = text.find(' ', first == text.npos ? first : first + 1);
+  std::size_t first = text.find(' '), second = text.find(' ', first == std::string_view::npos ? first : first + 1);
   std::string_view version;
   if (kind_ == Kind::request) {
-    if (second == text.npos || text.find(' ', second + 1) != text.npos) fail(400, "not a request line");
+    if (second == std::string_view::npos || text.find(' ', second + 1) != std::string_view::npos) fail(400, "not a request line");
     message_.method = text.substr(0, first);
     message_.target = text.substr(first + 1, second - first - 1);
     version = text.substr(second + 1);
     if (!is_token(message_.method)) fail(400, "not a method");
     if (!is_visible(message_.target)) fail(400, "not a target");
   } else {
-    if (first == text.npos) fail(502, "not a status line");
+    if (first == std::string_view::npos) fail(502, "not a status line");
     version = text.substr(0, first);
     std::string_view code = text.substr(first + 1, 3);
     message_.status = base::parse_number<int>(code).value_or(0);
@@ -174,7 +174,7 @@
   if (message_.headers.size() >= limits_.headers) fail(431, "too many headers");
   if (text[0] == ' ' || text[0] == '\t') fail(400, "a folded header");
   std::size_t colon = text.find(':');
-  if (colon == text.npos) fail(400, "a header without a colon");
+  if (colon == std::string_view::npos) fail(400, "a header without a colon");
   if (!is_token(text.substr(0, colon))) fail(400, "not a header name");
   std::string_view value = trimmed(text.substr(colon + 1));
   if (has_control(value)) fail(400, "a control character in a header");
@@ -195,8 +195,8 @@
       sized = true, size = *given;
     } else if (name == "connection") {
       std::string words = lower(value);
-      if (words.find("close") != words.npos) message_.keep_alive = false;
-      else if (words.find("keep-alive") != words.npos) message_.keep_alive = true;
+      if (words.find("close") != std::string::npos) message_.keep_alive = false;
+      else if (words.find("keep-alive") != std::string::npos) message_.keep_alive = true;
     }
   }
   // Where both are given, two readers may see two different messages: request smuggling.
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -24,7 +24,7 @@
 };
 
 struct Limits {  // bytes, but for `headers`
-  std::size_t line = 8192, head = 32768, headers = 100, body = 4 * 1048576;
+  std::size_t line = 8192, head = 32768, headers = 100, body = std::size_t{4} * 1048576;
 };
 
 // A message that breaks the rules. `status` is what a server answers, `offset` counts bytes fed since the
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -81,7 +81,7 @@
     std::string tls_name{};
   };
 
-  Client(net::Reactor& reactor, Options options) : reactor_(reactor), options_(options) {}
+  Client(net::Reactor& reactor, Options options) : reactor_(reactor), options_(std::move(options)) {}
   ~Client();
   Call ask(net::Address to, const Message& message, Ms timeout_ms, Done done);
   // The same for an answer without end: `piece` is given each part of the body of a 200; `done` follows at
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -90,7 +90,7 @@
   } catch (const spdlog::spdlog_ex& error) {
     throw std::runtime_error("cannot open the log " + file + ": " + error.what());
   }
-  sink->set_formatter(std::make_unique<spdlog::pattern_formatter>("{\"at\":\"%Y-%m-%dT%H:%M:%S.%eZ\",%v",
+  sink->set_formatter(std::make_unique<spdlog::pattern_formatter>(R"({"at":"%Y-%m-%dT%H:%M:%S.%eZ",%v)",
                                                                   spdlog::pattern_time_type::utc));
   written_ = std::make_shared<std::atomic<std::uint64_t>>(0);
   sink = std::make_shared<Counted>(sink, written_);
--- a/src/measure/metrics.cpp
+++ b/src/measure/metrics.cpp
@@ -45,6 +45,7 @@
   constexpr std::size_t kSeries = 1000;
   Scrape scrape = scrape_of(kSeries, 1700000000000);
   std::vector<SeriesRun> runs;
+  runs.reserve(scrape.points.size());
   for (const Point& p : scrape.points) runs.push_back({p.labels, {{scrape.at_ms, p.value}}});
   std::string body = encode_request(runs), plain, packed, copy;
   snappy::Uncompress(body.data(), body.size(), &plain);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -276,7 +276,7 @@
 // ---- Listener ----
 
 struct Listener::Acceptor final : Handler, std::enable_shared_from_this<Acceptor> {
-  Acceptor(Reactor& r, Accept a, ConnectionOptions l) : reactor(r), accept(std::move(a)), options(l) {}
+  Acceptor(Reactor& r, Accept a, ConnectionOptions l) : reactor(r), accept(std::move(a)), options(std::move(l)) {}
 
   void ready(std::uint32_t) override {
     while (listening) {
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -15,8 +15,8 @@
 namespace beamshunt::net {
 
 struct ConnectionOptions {
-  std::size_t most_unsent = 8 * 1048576;    // bytes; more is the peer's fault, who does not read
-  std::size_t most_a_turn = 256 * 1024;     // bytes read in one turn of the loop: others get theirs, too
+  std::size_t most_unsent = std::size_t{8} * 1048576;    // bytes; more is the peer's fault, who does not read
+  std::size_t most_a_turn = std::size_t{256} * 1024;     // bytes read in one turn of the loop: others get theirs, too
   std::shared_ptr<const TlsContext> tls{};  // speaks TLS if there is one
   std::string tls_name{};                   // that a dialled peer's certificate must have
 };
--- a/tests/experiment/experiment_test.cpp
+++ b/tests/experiment/experiment_test.cpp
@@ -19,16 +19,16 @@
  protected:
   void SetUp() override {
     char name[] = "/tmp/experiment-XXXXXX";
-    folder_ = mkdtemp(name);
-    std::filesystem::copy("days/stage.cue", folder_ + "/stage.cue");
+    folder = mkdtemp(name);
+    std::filesystem::copy("days/stage.cue", folder + "/stage.cue");
   }
-  void TearDown() override { std::filesystem::remove_all(folder_); }
+  void TearDown() override { std::filesystem::remove_all(folder); }
   std::string write(const std::string& text) {
-    std::string path = folder_ + "/try.cue";
+    std::string path = folder + "/try.cue";
     std::ofstream(path) << text;
     return path;
   }
-  std::string journal() const { return folder_ + "/try.runs"; }
+  std::string journal() const { return folder + "/try.runs"; }
   static constexpr const char* kTry = R"(
 name: "try"
 stage: ["stage.cue"]
@@ -47,7 +47,7 @@
   {name: "time", title: "By time", kind: "time", y: "asked"},
 ]
 )";
-  std::string folder_;
+  std::string folder;
 };
 
 std::string refusal(const std::string& file) {
@@ -64,7 +64,7 @@
   EXPECT_EQ(plan.points(), 2u);
   EXPECT_EQ(runs_of(plan).size(), 12u);
   EXPECT_EQ(plan.day(1).rate, 300);
-  Results one = run(plan, {journal(), 1}), four = run(plan, {folder_ + "/four.runs", 4});
+  Results one = run(plan, {journal(), 1}), four = run(plan, {folder + "/four.runs", 4});
   ASSERT_EQ(one.rows.size(), 12u);
   for (std::size_t k = 0; k < one.rows.size(); ++k) {
     EXPECT_EQ(one.rows[k].run.key(), four.rows[k].run.key());
@@ -106,7 +106,7 @@
 TEST_F(Experiment, ResultsComeBackFromTheColumnarFileAndBecomePictures) {
   Plan plan = read_plan(write(kTry));
   Results r = run(plan, {journal(), 2});
-  std::string path = folder_ + "/try.h5";
+  std::string path = folder + "/try.h5";
   write_results(path, r);
   Results back = read_results(path);
   EXPECT_EQ(back.name, r.name);
@@ -128,7 +128,7 @@
   EXPECT_NE(html.find("inside noise"), std::string::npos);
   EXPECT_EQ(html.find("src="), std::string::npos) << "one page, nothing beside it";
   // No results file, and a torn one.
-  EXPECT_THROW(read_results(folder_ + "/none.h5"), std::runtime_error);
+  EXPECT_THROW(read_results(folder + "/none.h5"), std::runtime_error);
   std::filesystem::resize_file(path, std::filesystem::file_size(path) / 2);
   EXPECT_THROW(read_results(path), std::runtime_error);
 }
