--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -6,9 +6,9 @@
 #include <numeric>
 #include <random>
 
-#include "simulator_adapter/codec.h"
-#include "policy/fairness.h"
 #include "policy/fleet.h"
+#include "policy/max_min_fairness.h"
+#include "simulator_adapter/codec.h"
 
 namespace beamshunt::test {
 namespace {
