--- a/src/policy/locality_spillover.cpp
+++ b/src/policy/locality_spillover.cpp
@@ -64,7 +64,8 @@
     total_load += load[z];
   }
   double mean = total_capacity > 0 ? total_load / total_capacity : 0;
-  if (capacity[here] <= 0) return std::vector<double>(count, 1);
+  std::vector<double> factors(count, 1);
+  if (capacity[here] <= 0) return factors;  // all other localities alike
 
   double movable = demand.that_may_leave(here);
   double excess = std::clamp(load[here] - capacity[here] * mean, 0.0, movable);
@@ -78,7 +79,7 @@
   for (std::size_t z = 0; z < count; ++z) {
     if (z != here) total_spare += spare(z);
   }
-  std::vector<double> factors(count, 0);
+  factors.assign(count, 0);
   factors[here] = 1;
   if (local_share >= 1 || total_spare <= 0) return factors;
   factors[here] = local_share;
--- a/tests/policy/fleet.h
+++ b/tests/policy/fleet.h
@@ -49,16 +49,17 @@
 // Drives one Controller by its timers and keeps what the orders so far amount to.
 class Fleet {
  public:
-  explicit Fleet(Settings s, double origin = 50000) : settings(s), controller(s), now(Duration(origin)) {}
+  explicit Fleet(const Settings& s, double origin = 50000)
+      : settings(s), controller(s), now(Duration(origin)) {}
 
-  vector<Action> send(vector<Event> events) {
+  vector<Action> send(const vector<Event>& events) {
     vector<Action> actions = controller.handle(now, events);
     for (const Action& a : actions) note(a);
     last = actions;
     return actions;
   }
 
-  void start(vector<ListedEndpoint> entries) {
+  void start(const vector<ListedEndpoint>& entries) {
     listed = entries;
     send({EndpointList{EndpointListKind::cached, entries}});
   }
@@ -72,15 +73,15 @@
     now += settings.report_period;
     vector<Event> events;
     for (const ListedEndpoint& e : listed)
-      for (EndpointReport h : heard(e)) events.push_back(h);
+      for (EndpointReport h : heard(e)) events.emplace_back(h);
     for (auto [proxy, zone] : zones) {
-      events.push_back(DemandReport{ProxyId(proxy), ClassId(0), came_a, 0, settings.report_period});
-      events.push_back(DemandReport{ProxyId(proxy), ClassId(1), came_b, 0, settings.report_period});
+      events.emplace_back(DemandReport{ProxyId(proxy), ClassId(0), came_a, 0, settings.report_period});
+      events.emplace_back(DemandReport{ProxyId(proxy), ClassId(1), came_b, 0, settings.report_period});
     }
     for (auto [proxy, serial] : unconfirmed)
-      events.push_back(UpdateAcknowledged{ProxyId(proxy), settings.update_delay, serial});
+      events.emplace_back(UpdateAcknowledged{ProxyId(proxy), settings.update_delay, serial});
     unconfirmed.clear();
-    events.push_back(TimerFired{});
+    events.emplace_back(TimerFired{});
     send(events);
   }
   template <typename Heard>
@@ -124,25 +125,25 @@
     if (auto* l = std::get_if<SetWeight>(&action)) {
       if (l->weight > 0) tables[l->table][l->endpoint] = l->weight;
       else tables[l->table].erase(l->endpoint);
-      touched.insert(l->table);
+      touched_.insert(l->table);
     } else if (auto* a = std::get_if<SetAdmissionLimit>(&action)) {
       for (unsigned c = 0; c < settings.classes.size(); ++c)
         if (a->classes == 0 || (a->classes >> c & 1) != 0) levels[{a->table, c}] = *a;
-      touched.insert(a->table);
+      touched_.insert(a->table);
     } else if (auto* b = std::get_if<AssignTable>(&action)) {
       for (unsigned c = 0; c < settings.classes.size(); ++c)
         if (b->classes == 0 || (b->classes >> c & 1) != 0)
           bound[{static_cast<unsigned>(b->proxy), c}] = b->table;
-      touched.insert(b->table);
+      touched_.insert(b->table);
     } else if (auto* m = std::get_if<AckRequest>(&action)) {
       std::set<unsigned> reached;
       for (auto& [key, table] : bound)
-        if (touched.contains(table)) reached.insert(key.first);
+        if (touched_.contains(table)) reached.insert(key.first);
       for (unsigned p : reached) ++messages[p], unconfirmed.emplace_back(p, m->sequence_number);
-      touched.clear();
+      touched_.clear();
     }
   }
-  std::set<TableId> touched;
+  std::set<TableId> touched_;
 };
 
 inline EndpointReport heard(const ListedEndpoint& e, double tries, double failed, double latency) {
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -37,14 +37,12 @@
 
 class OutlierDetection : public testing::Test {
  protected:
-  std::vector<LogMessage> judge(Time now = kNow) {
-    return detector_.judge(kEast, endpoints_, kInterval, now);
-  }
-  Endpoint& first() { return endpoints_[EndpointId(11)]; }
+  std::vector<LogMessage> judge(Time now = kNow) { return detector.judge(kEast, endpoints, kInterval, now); }
+  Endpoint& first() { return endpoints[EndpointId(11)]; }
 
-  Settings settings_ = two_zone_settings();
-  OutlierDetector detector_{settings_};
-  EndpointMap endpoints_ = fleet_of_three();
+  Settings settings = two_zone_settings();
+  OutlierDetector detector{settings};
+  EndpointMap endpoints = fleet_of_three();
 };
 
 TEST_F(OutlierDetection, EjectsAnEndpointThatFailsWhileTheOthersSucceed) {
@@ -62,7 +60,7 @@
 }
 
 TEST_F(OutlierDetection, ACommonCauseEjectsNobody) {
-  for (auto& [id, endpoint] : endpoints_) fail(endpoint, 10);
+  for (auto& [id, endpoint] : endpoints) fail(endpoint, 10);
   EXPECT_TRUE(judge().empty());
 }
 
@@ -71,7 +69,7 @@
   first().paths[kEast].last_report = kNow - Duration(1500);
   first().health_check_run = -2;
   EXPECT_TRUE(judge().empty()) << "no other answered: the network may be at fault";
-  endpoints_[EndpointId(12)].health_check_run = 1;
+  endpoints[EndpointId(12)].health_check_run = 1;
   std::vector<LogMessage> messages = judge();
   ASSERT_EQ(messages.size(), 1u);
   EXPECT_EQ(messages[0].text, "eject 11, no probe answered, seen from east");
@@ -96,12 +94,12 @@
 }
 
 TEST_F(OutlierDetection, OnlyEjectedEndpointsNeedHealthChecksWhereReportsComeOtherwise) {
-  EXPECT_TRUE(detector_.due_health_checks(endpoints_).empty());
+  EXPECT_TRUE(detector.due_health_checks(endpoints).empty());
   first().paths[kWest].ejected = true;
-  ASSERT_EQ(detector_.due_health_checks(endpoints_).size(), 1u);
-  EXPECT_EQ(detector_.due_health_checks(endpoints_)[0].endpoint, EndpointId(11));
-  settings_.load_reports_by_health_check = true;
-  EXPECT_EQ(detector_.due_health_checks(endpoints_).size(), 3u);
+  ASSERT_EQ(detector.due_health_checks(endpoints).size(), 1u);
+  EXPECT_EQ(detector.due_health_checks(endpoints)[0].endpoint, EndpointId(11));
+  settings.load_reports_by_health_check = true;
+  EXPECT_EQ(detector.due_health_checks(endpoints).size(), 3u);
 }
 
 }  // namespace
