--- a/src/alerts/rules.cpp
+++ b/src/alerts/rules.cpp
@@ -53,7 +53,7 @@
 
 std::string filled(std::string text, const Labels& labels, double value) {
   auto replace = [&](const std::string& what, const std::string& with) {
-    for (std::size_t at; (at = text.find(what)) != text.npos;) text.replace(at, what.size(), with);
+    for (std::size_t at; (at = text.find(what)) != std::string::npos;) text.replace(at, what.size(), with);
   };
   for (auto& [name, v] : labels) replace("{{ $labels." + name + " }}", v);
   replace("{{ $value }}", fmt::format("{:.4g}", value));
@@ -79,16 +79,17 @@
   std::istringstream words(text);
   for (std::string word; words >> word;) {
     if (word == "_") {
-      out.push_back(std::nullopt);
+      out.emplace_back(std::nullopt);
       continue;
     }
     if (word == "stale") {
-      out.push_back(telemetry::stale_marker());
+      out.emplace_back(telemetry::stale_marker());
       continue;
     }
     std::size_t times = word.find('x');
     std::size_t step_at = word.find_first_of("+-", 1);
-    if (step_at != word.npos && step_at > 0 && (word[step_at - 1] == 'e')) step_at = word.npos;
+    if (step_at != std::string::npos && step_at > 0 && (word[step_at - 1] == 'e'))
+      step_at = std::string::npos;
     double first = 0, step = 0;
     int count = 0;
     try {
@@ -97,19 +98,26 @@
         continue;
       }
       first = std::stod(word.substr(0, std::min(times, step_at)));
-      if (step_at != word.npos && step_at < times) step = std::stod(word.substr(step_at, times - step_at));
-      if (times != word.npos) count = std::stoi(word.substr(times + 1));
+      if (step_at != std::string::npos && step_at < times)
+        step = std::stod(word.substr(step_at, times - step_at));
+      if (times != std::string::npos) count = std::stoi(word.substr(times + 1));
     } catch (const std::exception&) {
       throw std::runtime_error("'" + word + "' is no value");
     }
-    for (int k = 0; k <= count; ++k) out.push_back(first + k * step);
+    for (int k = 0; k <= count; ++k) out.emplace_back(first + k * step);
   }
   return out;
 }
 
 std::string text_of(const std::map<std::string, std::string>& labels) {
   std::string out;
-  for (auto& [name, value] : labels) out += (out.empty() ? "" : ", ") + name + "=\"" + value + "\"";
+  for (auto& [name, value] : labels) {
+    if (!out.empty()) out += ", ";
+    out += name;
+    out += "=\"";
+    out += value;
+    out += '"';
+  }
   return "{" + out + "}";
 }
 
@@ -154,7 +162,7 @@
   }
 
   void check_alert(const YAML::Node& check, const std::map<std::int64_t, std::vector<Alert>>& states) {
-    std::string name = check["alertname"].as<std::string>();
+    auto name = check["alertname"].as<std::string>();
     std::set<std::string> wanted, got;
     auto known = std::find_if(rules_.begin(), rules_.end(), [&](auto& r) { return r.alert == name; });
     if (known == rules_.end()) return failed(check, name + " is no alert of the rule files");
@@ -179,11 +187,11 @@
   }
 
   void check_expression(const YAML::Node& check, const Store& store) {
-    std::string text = check["expr"].as<std::string>();
+    auto text = check["expr"].as<std::string>();
     std::map<Labels, double> wanted, got;
     for (auto sample : check["exp_samples"]) {
       Labels labels;
-      std::string series = sample["labels"].as<std::string>();
+      auto series = sample["labels"].as<std::string>();
       if (!series.empty() && series != "{}") {
         labels = read_series(series[0] == '{' ? "x" + series : series);
         if (series[0] == '{') std::erase_if(labels, [](auto& l) { return l.first == kName; });
@@ -226,7 +234,7 @@
       for (auto r : group["rules"]) {
         known_fields(file, r, {"alert", "expr", "for", "labels", "annotations"});
         if (!r["alert"] || !r["expr"]) fail(file, r, "a rule has an alert and an expr");
-        std::string text = r["expr"].as<std::string>();
+        auto text = r["expr"].as<std::string>();
         try {
           out.push_back({r["alert"].as<std::string>(), text, Query(text),
                          r["for"] ? duration(file, r["for"]) : 0, text_map(r["labels"]),
@@ -326,6 +334,7 @@
 
 std::vector<Alert> Evaluator::active() const {
   std::vector<Alert> out;
+  out.reserve(active_.size());
   for (auto& [key, alert] : active_) out.push_back(alert);
   return out;
 }
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -137,8 +137,8 @@
     note_lacks(x.proxy, p);
     p.last_decided = std::max(p.last_decided, x.message.decided_at_ms);
     if (!p.instance) return;
-    in_channel_[*p.instance].push_back({x.message.decided_at_ms, x.message.lines});
-    in_channel_[*p.instance].push_back({now_, -x.message.lines});
+    in_channel_[*p.instance].emplace_back(x.message.decided_at_ms, x.message.lines);
+    in_channel_[*p.instance].emplace_back(now_, -x.message.lines);
     p.messages.push_back(x.message.decided_at_ms);
     while (x.message.decided_at_ms - p.messages.front() > limits_.messages_span) p.messages.pop_front();
     if (limits_.messages_allowed <= 0) return;
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -51,7 +51,7 @@
 // A resource as arguments give it.
 std::pair<std::string, std::string> type_and_file(const std::string& text) {
   std::size_t mark = text.find('=');
-  if (mark == text.npos) throw std::runtime_error("'" + text + "' is not type=file");
+  if (mark == std::string::npos) throw std::runtime_error("'" + text + "' is not type=file");
   return {text.substr(0, mark), text.substr(mark + 1)};
 }
 
@@ -586,7 +586,8 @@
   standin::ListService list(world, address(a.address, "--address"), a.localities);
   for (const std::string& given : a.servers) {
     std::size_t first = given.find('='), second = given.find('=', first + 1);
-    if (second == given.npos) throw std::runtime_error("--server '" + given + "' is not id=locality=address");
+    if (second == std::string::npos)
+      throw std::runtime_error("--server '" + given + "' is not id=locality=address");
     list.change({.id = static_cast<std::uint32_t>(std::stoul(given.substr(0, first))),
                  .locality = locality_of(a, given.substr(first + 1, second - first - 1)),
                  .address = address(given.substr(second + 1), "--server")},
--- a/src/config/value.cpp
+++ b/src/config/value.cpp
@@ -451,7 +451,7 @@
       all = all ? unifier_.unify(all, given, path) : given;
     }
     open_.erase(node.text);
-    for (std::size_t dot = node.text.find('.'); all && dot != node.text.npos;) {
+    for (std::size_t dot = node.text.find('.'); all && dot != std::string::npos;) {
       std::size_t next = node.text.find('.', dot + 1);
       const Member* member = all->find(node.text.substr(dot + 1, next - dot - 1));
       if (!member) return unifier_.fault(node.at, path, "'" + node.text + "' names no field");
--- a/src/day/player.cpp
+++ b/src/day/player.cpp
@@ -128,7 +128,7 @@
       std::vector<net::Address> at;
       for (int k = 0; k < day_.controls; ++k)
         at.push_back({addresses_.ip(0, 252, static_cast<std::uint32_t>(k) + 1), kControlPort});
-      versions_ = std::make_unique<Versions>(world_, at, day_.assigners.size());
+      versions_ = std::make_unique<Versions>(world_, at);
     }
     for (const ServerGroup& group : day_.servers)
       for (int k = 0; k < group.count; ++k) add_server(group, false);
--- a/src/day/versions.cpp
+++ b/src/day/versions.cpp
@@ -29,7 +29,7 @@
       {kLimits, "site: guarantees: drain_grace: 10ms"},
       {kLimits, "site: channel: most_waiting_lines: 5"},
       {kLimits, "site: channel: messages: 1"},
-      {kSettings, "site: levels: \"share\""},
+      {kSettings, R"(site: levels: "share")"},
       {kSettings, "streams: confirm_within: 100ms"},
       {{"localities", "site"}, "site: localities: [{name: \"elsewhere\", prefixes: [\"127.0.0.0/8\"]}]"},
       {{"classes", "site"}, "site: classes: [{name: \"other\", slo: 1s, deadline: 2s}]"}};
@@ -38,8 +38,7 @@
 
 }  // namespace
 
-Versions::Versions(standin::World& world, const std::vector<net::Address>& services, std::size_t assigners)
-    : world_(world), assigners_(assigners) {
+Versions::Versions(standin::World& world, const std::vector<net::Address>& services) : world_(world) {
   for (net::Address at : services)
     services_.push_back(std::make_unique<standin::ControlService>(world, at, kOrigin));
 }
--- a/src/day/versions.h
+++ b/src/day/versions.h
@@ -22,7 +22,7 @@
 
 class Versions {
  public:
-  Versions(standin::World& world, const std::vector<net::Address>& services, std::size_t assigners);
+  Versions(standin::World& world, const std::vector<net::Address>& services);
   std::string settings(Ms watch, double service_drop) const;  // that an assigner needs for them
   std::string strike(const Trouble& trouble);                 // what it does, for people
   void away(bool away) { services_.front()->away(away); }
@@ -34,7 +34,7 @@
 
   standin::World& world_;
   std::vector<std::unique_ptr<standin::ControlService>> services_;  // the second one has a mind of its own
-  std::size_t assigners_ = 0, goods_ = 0, bads_ = 0, harms_ = 0, told_ = 0;
+  std::size_t goods_ = 0, bads_ = 0, harms_ = 0, told_ = 0;
   std::map<std::uint64_t, std::size_t> must_be_refused_;  // by how many
   std::uint64_t last_good_ = 0;
 };
--- a/src/experiment/results.cpp
+++ b/src/experiment/results.cpp
@@ -190,7 +190,8 @@
 Journal::Journal(const std::string& path, const Plan& plan) : path_(path) {
   std::string held = base::read_file(path).value_or("");
   std::string header = json{{"experiment", plan.name}, {"hash", fmt::format("{:016x}", plan.hash)}}.dump();
-  std::size_t whole = held.rfind('\n') == held.npos ? 0 : held.rfind('\n') + 1;  // what is behind was torn
+  std::size_t whole =
+      held.rfind('\n') == std::string::npos ? 0 : held.rfind('\n') + 1;  // what is behind was torn
   std::size_t number = 0;
   for (std::size_t at = 0; at < whole; ++number) {
     std::size_t end = held.find('\n', at);
--- a/src/process/child.cpp
+++ b/src/process/child.cpp
@@ -21,6 +21,7 @@
 Child::Child(const std::string& program, std::vector<std::string> arguments, const std::string& log) {
   arguments.insert(arguments.begin(), program);
   std::vector<char*> words;
+  words.reserve(arguments.size() + 1);
   for (std::string& a : arguments) words.push_back(a.data());
   words.push_back(nullptr);
   pid_t parent = ::getpid();
@@ -46,7 +47,7 @@
   pid_ = -1;
 }
 
-void Child::signal(int number) {
+void Child::signal(int number) const {
   if (pid_ >= 0) ::kill(pid_, number);
 }
 
@@ -71,7 +72,7 @@
   std::ifstream in(fmt::format("/proc/{}/stat", pid_));
   std::string all((std::istreambuf_iterator<char>(in)), {});
   std::size_t name_ends = all.rfind(')');  // the name may hold anything, blanks too
-  if (name_ends == all.npos) return 0;
+  if (name_ends == std::string::npos) return 0;
   std::istringstream rest(all.substr(name_ends + 2));
   std::string word;
   double ticks = 0;
--- a/src/process/child.h
+++ b/src/process/child.h
@@ -18,13 +18,13 @@
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
 
-  void signal(int number);
-  void ask_to_stop() { signal(SIGTERM); }
+  void signal(int number) const;
+  void ask_to_stop() const { signal(SIGTERM); }
   void kill();  // SIGKILL, and waits for its end
-  int stop(
-      double most_ms);  // SIGTERM, and waits: its exit status, or -1 if it had to be killed or was before;
-                        // of one that has ended, the status it ended with
-  bool ended();         // by itself
+  // SIGTERM, and waits for at most `most_ms`: its exit status, or -1 if it had to be killed or was before. Of
+  // one that has ended, the status it ended with.
+  int stop(double most_ms);
+  bool ended();  // by itself
   double cpu_seconds() const;
   double resident_kib() const;
 
--- a/src/standin/list.cpp
+++ b/src/standin/list.cpp
@@ -79,14 +79,15 @@
 
 std::vector<Listing> ListService::all() const {
   std::vector<Listing> out;
+  out.reserve(shown_.size());
   for (auto& [id, l] : shown_) out.push_back(l);
   return out;
 }
 
-void ListService::handle(http::Message&& message, http::Responder responder) {
+void ListService::handle(http::Message&& message, const http::Responder& responder) {
   std::size_t mark = message.target.find("?instance=");
   std::uint32_t instance = 0;
-  if (mark != message.target.npos)
+  if (mark != std::string::npos)
     instance =
         base::parse_number<std::uint32_t>(std::string_view(message.target).substr(mark + 10)).value_or(0);
   std::string path = message.target.substr(0, mark);
--- a/src/standin/list.h
+++ b/src/standin/list.h
@@ -40,7 +40,7 @@
     http::Responder responder;
   };
   void open();
-  void handle(http::Message&& message, http::Responder responder);
+  void handle(http::Message&& message, const http::Responder& responder);
   std::string line(bool total, const std::vector<Listing>& entries) const {
     return list_json(total, version_, entries, localities_) + "\n";
   }
--- a/src/standin/proxy_model.h
+++ b/src/standin/proxy_model.h
@@ -67,7 +67,8 @@
   void in_time(std::size_t request_class) { ++usage_[request_class].in_time; }
   channel::Report report(Ms now);
   bool loses_report(double share) {  // every so many-th, whatever chance does
-    if ((lost_ += share) < 1) return false;
+    lost_ += share;
+    if (lost_ < 1) return false;
     lost_ -= 1;
     return true;
   }
--- a/src/standin/server.cpp
+++ b/src/standin/server.cpp
@@ -2,6 +2,7 @@
 
 #include <fmt/format.h>
 
+#include <cmath>
 #include <nlohmann/json.hpp>
 #include <random>
 
@@ -35,7 +36,7 @@
   ask.key = m.header("x-key");
   if (!number(m, "x-request", ask.request) || !number(m, "x-class", ask.request_class) ||
       !number(m, "x-work", ask.work_ms) || !number(m, "x-proxy", ask.proxy) ||
-      !number(m, "x-try", ask.number) || !(ask.work_ms >= 0 && ask.work_ms < 1e7))
+      !number(m, "x-try", ask.number) || std::isnan(ask.work_ms) || ask.work_ms < 0 || ask.work_ms >= 1e7)
     return std::nullopt;
   return ask;
 }
--- a/tests/gate/changes.h
+++ b/tests/gate/changes.h
@@ -55,7 +55,7 @@
 
 inline std::vector<Change> harmful() {
   std::vector<Change> out;
-  auto each = [&](const char* type, const std::string& before, std::vector<std::string> values,
+  auto each = [&](const char* type, const std::string& before, const std::vector<std::string>& values,
                   const char* rule, Fleet fleet = Fleet::warm) {
     for (auto& value : values) out.push_back({type, before + value, rule, fleet});
   };
@@ -147,7 +147,7 @@
 
 inline std::vector<Change> harmless() {
   std::vector<Change> out;
-  auto each = [&](const char* type, const std::string& before, std::vector<std::string> values,
+  auto each = [&](const char* type, const std::string& before, const std::vector<std::string>& values,
                   Fleet fleet = Fleet::warm) {
     for (auto& value : values) out.push_back({type, before + value, "", fleet});
   };
--- a/tests/gate/gate_test.cpp
+++ b/tests/gate/gate_test.cpp
@@ -121,9 +121,9 @@
   for (const Change& change : test::harmful()) {
     for (const Reason& r : all_of_it(change, judge)) {
       std::size_t colon = change.body.rfind(": ");
-      bool value = !r.would_do.empty() && r.would_do.find(' ') == r.would_do.npos &&
-                   colon != change.body.npos && change.body.find('{') == change.body.npos &&
-                   r.path.find('[') == r.path.npos;
+      bool value = !r.would_do.empty() && r.would_do.find(' ') == std::string::npos &&
+                   colon != std::string::npos && change.body.find('{') == std::string::npos &&
+                   r.path.find('[') == std::string::npos;
       if (!value ||
           change.body.substr(0, colon).find(r.path.substr(r.path.rfind('.') + 1)) == std::string::npos)
         continue;
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -60,7 +60,7 @@
   c->start({{},
             [&](std::string_view b) {
               came += b;
-              done = came.find("/3") != came.npos;
+              done = came.find("/3") != std::string::npos;
             },
             {},
             {}});
@@ -148,8 +148,8 @@
             [&](net::CloseReason) { done = true; }});
   c->send(std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\nGET / HTTP/9\r\n\r\n"));
   run_until(done);
-  EXPECT_NE(came.find("200 OK"), came.npos);
-  EXPECT_NE(came.find("505"), came.npos);
+  EXPECT_NE(came.find("200 OK"), std::string::npos);
+  EXPECT_NE(came.find("505"), std::string::npos);
   EXPECT_EQ(told, "not HTTP/1.1");
 }
 
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -11,7 +11,7 @@
 TEST(Log, ALineIsOneJsonObjectWhateverItsFieldsHold) {
   std::string line =
       json_line(Level::warning, "stream_refused", {{"peer", "a\n\"b\xff"}, {"reason", "r"}}, 3);
-  EXPECT_EQ(line.find('\n'), line.npos);
+  EXPECT_EQ(line.find('\n'), std::string::npos);
   auto json = nlohmann::json::parse(line);
   EXPECT_EQ(json["level"], "warning");
   EXPECT_EQ(json["event"], "stream_refused");
