--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -380,6 +380,7 @@
   }
   std::vector<Listing> shown() const {
     std::vector<Listing> all;
+    all.reserve(shown_.size());
     for (auto& [id, l] : shown_) all.push_back(l);
     return all;
   }
@@ -786,6 +787,7 @@
       if (p.model || unnoticed) f.proxies.push_back(k);
     }
     std::vector<double> rates;
+    rates.reserve(f.proxies.size());
     for (std::size_t k : f.proxies) rates.push_back(proxies_[k].rate);
     f.by_rate = std::discrete_distribution<std::size_t>(rates.begin(), rates.end());
     return f.proxies;
--- a/src/experiment/chart.cpp
+++ b/src/experiment/chart.cpp
@@ -88,7 +88,7 @@
   }
   // `x_part`, `y_part`: where of the text the point is, 0 left or top, 1 right or bottom.
   void text(double x, double y, const std::string& s, double x_part, double y_part, double size = kFont,
-            double turn = 0) {
+            double turn = 0) const {
     cairo_set_font_size(pen(), size);
     cairo_text_extents_t e;
     cairo_text_extents(pen(), s.c_str(), &e);
--- a/src/experiment/results.cpp
+++ b/src/experiment/results.cpp
@@ -128,7 +128,8 @@
     throw std::runtime_error("HDF5: attribute " + name + " is no text");
   std::string out(H5Tget_size(type), '\0');
   if (H5Aread(attribute, type, out.data()) < 0) throw std::runtime_error("HDF5: could not read " + name);
-  return out.c_str();
+  out.resize(std::strlen(out.c_str()));  // the attribute may be padded with zeros
+  return out;
 }
 std::string joined(const std::vector<std::string>& all) { return fmt::format("{}", fmt::join(all, "\n")); }
 std::vector<std::string> split(const std::string& text) {
@@ -249,12 +250,13 @@
       policies.push_back(static_cast<std::int64_t>(row.run.policy));
     }
     for (int k = 0; std::string(emulator::policy_name(emulator::Policy(k))) != "?"; ++k)
-      policy_names.push_back(emulator::policy_name(emulator::Policy(k)));
+      policy_names.emplace_back(emulator::policy_name(emulator::Policy(k)));
     write_column(runs, "point", points), write_column(runs, "seed", seeds);
     write_column(runs, "policy", policies);
     write_text(runs, "policies", joined(policy_names));
     for (std::size_t k = 0; k < r.sweeps.size(); ++k) {
       std::vector<double> column;
+      column.reserve(r.rows.size());
       for (const Row& row : r.rows) column.push_back(row.values[k]);
       write_column(runs, "sweep_" + r.sweeps[k].name, column, r.sweeps[k].unit);
       sweep_names.push_back(r.sweeps[k].name), sweep_units.push_back(r.sweeps[k].unit);
@@ -262,6 +264,7 @@
     write_text(runs, "sweeps", joined(sweep_names)), write_text(runs, "sweep_units", joined(sweep_units));
     for (std::size_t k = 0; k < kFigures.size(); ++k) {
       std::vector<double> column;
+      column.reserve(r.rows.size());
       for (const Row& row : r.rows) column.push_back(row.figures[k]);
       write_column(runs, kFigures[k].name, column, kFigures[k].unit);
     }
@@ -276,8 +279,8 @@
     write_column(series, "time", time, "ms"), write_column(series, "value", value);
     std::vector<std::string> names, units;
     for (std::size_t n = 0; n < kSeries; ++n)
-      names.push_back(emulator::series_name(Series(n)).name),
-          units.push_back(emulator::series_name(Series(n)).unit);
+      names.emplace_back(emulator::series_name(Series(n)).name),
+          units.emplace_back(emulator::series_name(Series(n)).unit);
     write_text(series, "names", joined(names)), write_text(series, "units", joined(units));
     if (H5Fflush(file, H5F_SCOPE_GLOBAL) < 0) throw std::runtime_error("could not write " + beside);
   }
--- a/src/gate/shadow.cpp
+++ b/src/gate/shadow.cpp
@@ -107,7 +107,8 @@
   auto drained = std::make_shared<std::optional<std::size_t>>();
   f.script = [&options, drained](Stage& stage) {
     stage.after(options.settle + kDrainAt * options.length, [&stage, drained] {
-      if ((*drained = server_to_strike(stage, 0, {}))) stage.list(**drained, ListTold::State::terminating, 0);
+      *drained = server_to_strike(stage, 0, {});
+      if (*drained) stage.list(**drained, ListTold::State::terminating, 0);
     });
     stage.after(options.settle + kRestartAt * options.length, [&stage, drained] {
       auto k = server_to_strike(stage, 1, *drained);
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -47,8 +47,10 @@
 // The upper edge of the bin in which the quantile lies: within 5% above it.
 double quantile(const Histogram& h, double q) {
   double all = bh::algorithm::sum(h), sum = 0;
-  for (int k = -1; k <= h.axis().size(); ++k)
-    if ((sum += h.at(k)) >= q * all && all > 0) return h.axis().value(k + 1);
+  for (int k = -1; k <= h.axis().size(); ++k) {
+    sum += h.at(k);
+    if (sum >= q * all && all > 0) return h.axis().value(k + 1);
+  }
   return 0;
 }
 
@@ -180,7 +182,7 @@
     std::string pattern = (std::filesystem::temp_directory_path() / "beamshunt-measure-XXXXXX").string();
     if (!::mkdtemp(pattern.data())) throw std::runtime_error("cannot make a folder at " + pattern);
     folder_ = pattern;
-    auto wanted = static_cast<rlim_t>(std::max(o_.active, o_.idle) + 100);
+    auto wanted = static_cast<rlim_t>(std::max(o_.active, o_.idle)) + 100;
     if (rlim_t allowed = raise_descriptors(); allowed < wanted)
       throw std::runtime_error(
           fmt::format("{} descriptors are allowed here, {} are needed", allowed, wanted));
@@ -220,7 +222,9 @@
     Ms limit = world_.now() + most;
     bool late = false;
     std::function<void()> look = [&] {
-      if (done() || (late = world_.now() > limit)) return world_.reactor.stop();
+      bool met = done();
+      if (!met) late = world_.now() > limit;
+      if (met || late) return world_.reactor.stop();
       world_.reactor.at(world_.now() + 5, look);
     };
     world_.reactor.at(world_.now(), look);
