--- a/fuzz/platform.cpp
+++ b/fuzz/platform.cpp
@@ -1,6 +1,4 @@
-// The platform's lines in pieces, discovery's objects, load reports and configurations.
-#include <stdexcept>
-
+// Arbitrary bytes as the platform's messages in pieces, discovery's objects, load reports and configurations.
 #include "platform/configuration.h"
 #include "platform/directory.h"
 #include "platform/message.h"
@@ -18,22 +16,22 @@
         if (line->size() > kMostLine) __builtin_trap();
         try {
           platform::parse_message(*line, names, 40);
-        } catch (const platform::Unusable&) {
+        } catch (const platform::ProtocolError&) {
         }
       }
     }
-  } catch (const platform::Unusable&) {
+  } catch (const platform::ProtocolError&) {
   }
-  platform::parse_load(bytes);
+  static_cast<void>(platform::parse_load_report(bytes));
   try {
     platform::Directory directory;
-    for (const ListedEndpoint& e : directory.take(bytes, names, 0, 0).list.entries)
+    for (const ListedEndpoint& e : directory.apply(bytes, names, 0, 0).list.entries)
       if (!directory.uid(e.id)) __builtin_trap();
-  } catch (const std::runtime_error&) {
+  } catch (const platform::EndpointListError&) {
   }
   try {
-    platform::parse_configuration(bytes);
-  } catch (const std::runtime_error&) {
+    static_cast<void>(platform::parse_configuration(bytes));
+  } catch (const platform::ConfigurationError&) {
   }
   return 0;
 }
--- a/src/platform/core.h
+++ b/src/platform/core.h
@@ -1,190 +1,153 @@
-// The platform's assigner without its sockets: bytes, times and answers in; the module asked; effects out.
+// The platform's assigner without its sockets: bytes, results and times in, effects out. It wires the parts of
+// this package to the controller and hands each input to the part that owns it. It performs no I/O, reads no
+// clock and makes no decision on endpoints: those are the controller's.
+//
+// One call of the controller takes all that came since the last one: the shell reports what happens as it
+// happens, calls run_once() when the loop has nothing more, and executes the effects in their order.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
-#include <deque>
 #include <map>
 #include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <utility>
-#include <variant>
 #include <vector>
 
-#include "assignments/assignment_tables.h"
-#include "log/log.h"
+#include "platform/ack_tracker.h"
 #include "platform/configuration.h"
-#include "platform/directory.h"
-#include "platform/list_watch.h"
+#include "platform/discovery_client.h"
+#include "platform/effects.h"
+#include "platform/endpoint_view_log.h"
+#include "platform/health_check_client.h"
 #include "platform/message.h"
+#include "platform/session_table.h"
+#include "platform/update_writer.h"
 
 namespace beamshunt::platform {
 
-enum class ConnectionId : std::uint64_t {};
-
-// Endpoints asked at a time: a descriptor each, as part of all that the process may hold.
-std::size_t most_probes(std::size_t sockets);
-
-// ---- Effects: what the shell is to do ----
-struct SendBytes {
-  ConnectionId to{};
-  std::shared_ptr<const std::string> bytes;
-};
-struct CloseConnection {
-  ConnectionId connection{};
-  bool at_once = false;  // else after what was sent before
-};
-struct OpenWatch {
-  ListWatch::Number number = 0;  // what comes of it is told by
-  net::Address discovery{};
-  std::uint64_t from = 0;
-};
-struct CloseWatch {
-  ListWatch::Number number = 0;
-};
-struct FetchTheList {
-  net::Address discovery{};
-};
-struct AskEndpoint {
-  std::uint64_t number = 0;  // what comes of it is told by
-  EndpointId endpoint{};
-  net::Address address{};
-  bool for_load = false;  // the load report too
-};
-struct LogLine {
-  log::Level level = log::Level::info;
-  std::string event;
-  log::Fields fields;
-};
-using Effect =
-    std::variant<SendBytes, CloseConnection, OpenWatch, CloseWatch, FetchTheList, AskEndpoint, LogLine>;
-
+// What happened since the start.
 struct Counters {
-  std::uint64_t messages = 0, lines = 0, reports = 0, spoilt = 0, refused = 0, evicted = 0, silent = 0,
-                unacked_nonces = 0, late = 0, checks = 0;
+  std::uint64_t messages = 0;         // update messages to proxies
+  std::uint64_t lines = 0;            // that these count in the channel, without the overhead a message
+  std::uint64_t reports = 0;          // valid reports received
+  std::uint64_t malformed = 0;        // messages dropped alone
+  std::uint64_t rejected = 0;         // connections closed with a reason
+  std::uint64_t evicted = 0;          // unregistered connections closed to make room
+  std::uint64_t unresponsive = 0;     // proxies' connections closed for overdue acks
+  std::uint64_t unacknowledged = 0;   // nonces whose ack was overdue
+  std::uint64_t late_acks = 0;        // of nonces released before
+  std::uint64_t liveness_checks = 0;  // nonces sent alone
 };
 
 class Core {
  public:
-  // `verbose`: once a second a line on each endpoint, to be set against the traffic that its sockets see.
-  Core(Configuration configuration, Ms now, double wall_now, bool verbose = false);
-
-  // ---- What happens; effects are taken after turn() ----
-  void opened(ConnectionId id, Ms now);
-  void bytes(ConnectionId id, std::string_view bytes, Ms now);
-  void closed(ConnectionId id, const std::string& reason, Ms now);
-  void watch_bytes(ListWatch::Number number, std::string_view piece, Ms now, double wall_now);
-  void watch_ended(ListWatch::Number number, const std::string& reason, Ms now);
-  void fetch_answered(std::string_view json, Ms now, double wall_now);
-  void fetch_failed(const std::string& reason);
-  void probe_answered(EndpointId endpoint, std::uint64_t number, AttemptOutcome outcome, Ms took,
-                      std::string_view body);
-  // Another configuration from this instant on. Where the module's settings differ a fresh module takes over.
+  // `now`: ms of the monotonic clock, here and below; `wall_now`: ms since 1970 at the same instant.
+  // `log_endpoints`: writes EndpointViewLog's line.
+  Core(Configuration configuration, Ms now, double wall_now, bool log_endpoints = false);
+  // Its parts refer to each other.
+  Core(const Core&) = delete;
+  Core& operator=(const Core&) = delete;
+
+  // ---- Inputs; their effects are taken after run_once() ----
+  void on_connection_opened(ConnectionId id, Ms now);
+  // Bytes of a connection that is over are ignored.
+  void on_bytes(ConnectionId id, std::string_view bytes, Ms now);
+  // The peer or the network closed it; `reason` is logged.
+  void on_connection_closed(ConnectionId id, const std::string& reason);
+  void on_watch_bytes(ListWatch::Id watch, std::string_view bytes, Ms now, double wall_now);
+  void on_watch_ended(ListWatch::Id watch, const std::string& reason, Ms now);
+  void on_fetched(std::string_view json, Ms now, double wall_now);
+  void on_fetch_failed(const std::string& reason);
+  // `duration`: ms; `body`: of the endpoint's answer, empty if there was none.
+  void on_health_check_result(EndpointId endpoint, HealthCheckId id, AttemptOutcome outcome, Ms duration,
+                              std::string_view body);
+  // Another configuration holds from now on, but for its listen address. Where the settings differ a new
+  // controller takes over.
   void reconfigure(Configuration next, Ms now);
 
-  // Descriptors are for who has joined: who is to make room for others; nothing while there is enough of it.
-  // What has come of it is to be read first, for it may be a joining.
-  std::optional<ConnectionId> to_evict();
+  // ---- Room for connections ----
+  // Descriptors are for registered peers: the connection that has to make room for others, or nothing while
+  // there are enough. The shell reads it a last time before it calls evict(): it may hold a registration.
+  [[nodiscard]] std::optional<ConnectionId> eviction_candidate() { return sessions_.eviction_candidate(); }
+  // Closes the connection, unless it has registered meanwhile.
   void evict(ConnectionId id);
 
-  void turn(Ms now);
-  Ms next_due() const;  // when turn() must come at the latest
-  std::vector<Effect> take_effects() { return std::exchange(effects_, {}); }
+  // ---- Time ----
+  // Handles what is due, and calls the controller with all events since the last call, if there are any.
+  void run_once(Ms now);
+  // When run_once() must be called at the latest; 0: at once.
+  [[nodiscard]] Ms next_due() const;
+  [[nodiscard]] std::vector<Effect> take_effects() { return std::exchange(outputs_.effects, {}); }
 
-  // ---- What is seen ----
-  const Counters& counters() const { return counters_; }
-  const Configuration& configuration() const { return configuration_; }
-  std::size_t connections() const { return connections_.size(); }
-  std::size_t proxies() const { return streams_.size(); }
+  // ---- State ----
+  [[nodiscard]] const Counters& counters() const { return counters_; }
+  [[nodiscard]] const Configuration& configuration() const { return configuration_; }
+  [[nodiscard]] std::size_t connections() const { return sessions_.sessions().size(); }
+  [[nodiscard]] std::size_t proxies() const { return sessions_.proxies().size(); }
 
  private:
-  struct Nonce {
-    std::uint32_t value = 0;  // on the wire; a module that takes over counts its serials anew
-    std::uint32_t serial = 0;
-    std::uint64_t order = 0;  // among all messages of this channel
-    Ms sent = 0;
-    std::uint64_t module = 0;  // that ordered it; 0: the channel's own health check
-    double lines = 0;          // that it counts in the channel
+  // What one pass over all sessions has left.
+  struct TimeoutPass {
+    Ms now = 0;
+    double liveness_checks_left = 0;
+    std::size_t unfinished_bytes = 0;  // of the sessions looked at so far
   };
-  struct Connection {
-    enum class Is { opening, collector, proxy };
-    Is is = Is::opening;
-    LineReader reader;
-    Ms opened = 0, heard = 0, unfinished_since = 0;
-    ProxyRegistration joined;  // of a proxy
-    int unusable = 0;          // messages in a row
-    std::deque<Nonce> unacked;
-    std::deque<std::uint32_t> settled;  // nonces that wait no more: an ack of one is late, and sound
-    std::deque<Ms> messages;            // times at which it was written to, within the span that is limited
-  };
-  using Connections = std::map<ConnectionId, Connection>;
-  using Parts = std::vector<Part>;
-
-  void take_line(Connections::iterator c, std::string_view line, Ms now);
-  void take(Connections::iterator c, const HealthCheckRequest& m, Ms now);
-  void take(Connections::iterator c, const CollectorRegistration& m, Ms now);
-  void take(Connections::iterator c, const ProxyRegistration& m, Ms now);
-  void take(Connections::iterator c, const Ack& m, Ms now);
-  void take(Connections::iterator c, const EndpointReportMessage& m, Ms now);
-  void take(Connections::iterator c, const DemandReportMessage& m, Ms now);
-  void send(ConnectionId to, std::string bytes);
-  void refuse(Connections::iterator c, const std::string& reason);
-  void end(Connections::iterator c, const std::string& reason);
-  std::size_t most_connections() const;
-  void admit(Connection& c, Connection::Is as);
-  void upkeep(Ms now);
-  bool check_quiet(ConnectionId id, Connection& c, Ms now);
-  bool overdue(const Nonce& nonce, Ms now) const;
-  void acknowledge(Connection& c, std::size_t nonces, Ms now);
-  void settle(Connection& c);
-  std::size_t messages_within(Connection& c, Ms now) const;
-
-  void start_module();
-  void join(const ProxyRegistration& joined);
-  void act(const std::vector<Action>& actions, Ms now);
-  void write(ProxyId proxy, const assignments::Update& order);
-  void write_levels(ProxyId proxy, TableId table, ClassMask classes);
-  void send_messages(std::optional<std::uint32_t> serial, Ms now);
-  bool list_object(std::string_view json, Ms now, double wall_now);
-  void list_lost(const std::string& reason);
-  void open_watch();
-  void close_watches(const std::vector<ListWatch::Number>& numbers);
-  void note_view(Ms now);
-  void log(log::Level level, std::string event, log::Fields fields);
+
+  // Messages of a session. Each throws ProtocolError.
+  void handle_message(ConnectionId id, Session& session, std::string_view line, Ms now);
+  void handle(ConnectionId id, Session& session, const HealthCheckRequest& request, Ms now);
+  void handle(ConnectionId id, Session& session, const CollectorRegistration& registration, Ms now);
+  void handle(ConnectionId id, Session& session, const ProxyRegistration& registration, Ms now);
+  void handle(ConnectionId id, Session& session, const Ack& ack, Ms now);
+  void handle(ConnectionId id, Session& session, const EndpointReportMessage& report, Ms now);
+  void handle(ConnectionId id, Session& session, const DemandReportMessage& report, Ms now);
+
+  void register_with_controller(const ProxyRegistration& registration);
+  void reject(ConnectionId id, const std::string& reason);
+  void end_session(ConnectionId id, const std::string& reason);
+
+  // The controller and its actions.
+  void start_controller();
+  void hand_over_streams(Ms now);
+  void execute(const std::vector<Action>& actions, Ms now);
+  void execute(const Subscribe& action);
+  void execute(const FetchEndpoints& action);
+  void execute(const SetTimer& action);
+  void execute(const SendHealthCheck& action);
+  void execute(const SendPeerMessage& action);
+  void execute(const SetWeight& action) { updates_.apply(action); }
+  void execute(const ClearTable& action) { updates_.apply(action); }
+  void execute(const AssignTable& action) { updates_.apply(action); }
+  void execute(const ExcludeEndpoint& action) { updates_.apply(action); }
+  void execute(const SetAdmissionLimit& action) { updates_.apply(action); }
+  void execute(const AckRequest& action);
+  void execute(const LogMessage& action);
+  void execute(const InvariantViolated& action);
+  void send_updates(Ms now);
+
+  void expire_timeouts(Ms now);
+  void expire_timeouts(ConnectionId id, Session& session, TimeoutPass& pass);
+  [[nodiscard]] double liveness_check_budget() const;
+  [[nodiscard]] bool check_liveness(ConnectionId id, Session& session, Ms now);
+  void expire_acks(ConnectionId id, const Session& session, Ms now);
+  [[nodiscard]] Ms message_window() const { return configuration_.settings.message_window.count(); }
 
   Configuration configuration_;
-  Directory directory_;
-  ListWatch watch_;
+  Outputs outputs_;
+  SessionTable sessions_;
+  AckTracker acks_;
+  DiscoveryClient discovery_;
+  UpdateWriter updates_;
+  std::unique_ptr<EndpointViewLog> view_log_;  // null: endpoints are not logged
+  HealthCheckClient health_checks_;
   std::unique_ptr<Controller> controller_;
-  std::unique_ptr<assignments::AssignmentTables> tables_;
-  std::vector<Event> pending_;
-  std::multimap<Ms, std::uint64_t> timers_;
-  Connections connections_;
-  std::size_t joined_ = 0;  // of them
-  std::map<ProxyId, ConnectionId> streams_;
-  std::map<Locality, std::deque<ConnectionId>> collectors_;  // in the order they joined
-  std::deque<ConnectionId> opening_;  // in the order they came; some of them joined or gone
-  std::map<ProxyId, Parts> open_;     // this turn's messages
-  std::uint64_t last_order_ = 0;
-  std::uint16_t last_nonce_ = 0;                     // as the module's serials, which have so many bits
-  std::deque<std::pair<std::uint64_t, Ms>> passed_;  // acknowledged nonces' orders, growing, and when
-  std::uint64_t module_ = 0, last_probe_ = 0;
-  std::map<EndpointId, std::uint64_t> probing_;  // those that the present module waits for, and their numbers
-  double other_lines_ = 0;  // unconfirmed, of messages that the present module did not order
-  bool reopen_ = false;     // the watch at discovery's present address
-  Ms next_upkeep_ = 0;
+  std::multimap<Ms, std::uint64_t> timers_;     // the controller's, by deadline
+  std::optional<std::uint32_t> requested_ack_;  // sequence number, of the present batch
+  Ms next_timeout_check_ = 0;
   Counters counters_;
-  // For the log alone: nothing is decided by it.
-  struct View {
-    double tries = 0, failed = 0, latency = 0;  // heard since the last line; ms, summed over answered tries
-    std::string probe;                          // the last outcome
-    double busy = -1;                           // utilization by the last report
-  };
-  bool verbose_ = false;
-  std::map<EndpointId, View> view_;
-  Ms next_view_ = 0;
-  std::vector<Effect> effects_;
 };
 
 }  // namespace beamshunt::platform
--- a/src/platform/directory.cpp
+++ b/src/platform/directory.cpp
@@ -5,31 +5,35 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 #include <set>
-#include <stdexcept>
+#include <utility>
 
 namespace beamshunt::platform {
 namespace {
 
 using nlohmann::json;
 
-constexpr std::size_t kMostUid = 256;     // bytes
-constexpr double kMostSize = 1e6;         // a hint of capacity beyond it is no hint
-constexpr double kMostWall = 1e14;        // ms since 1970; beyond: no time of this machine's life
-constexpr std::size_t kMostFaults = 100;  // told of one object
-constexpr Ms kGoneKept = 300000;          // ms; the module forgets after a minute
+constexpr std::size_t kMaxUidBytes = 256;   // bytes: uids go into every update message
+constexpr double kMaxRevision = 9e15;       // beyond it a double holds no exact whole number
+constexpr double kMaxCell = 4e9;            // a cell's number has 32 bits
+constexpr double kMaxCapacity = 1e6;        // relative capacity; a larger hint is no hint
+constexpr double kMaxWallMs = 1e14;         // ms since 1970; later is no time in this machine's life
+constexpr std::size_t kMaxErrors = 100;     // reported of one object: each becomes a log line
+constexpr Ms kForgetRemovedAfter = 300000;  // ms; the controller forgets a removed endpoint after a minute
 
-std::optional<double> number(const json& entry, const char* name, double most) {
+std::optional<double> number(const json& entry, const char* name, double max) {
   auto found = entry.find(name);
   if (found == entry.end() || !found->is_number()) return std::nullopt;
-  double value = found->get<double>();
-  if (!std::isfinite(value) || value < 0 || value > most) return std::nullopt;
+  auto value = found->get<double>();
+  if (!std::isfinite(value) || value < 0 || value > max) return std::nullopt;
   return value;
 }
+
 std::optional<std::string> text(const json& entry, const char* name) {
   auto found = entry.find(name);
   if (found == entry.end() || !found->is_string()) return std::nullopt;
   return found->get<std::string>();
 }
+
 std::optional<EndpointState> state(const json& entry) {
   auto word = text(entry, "state");
   if (word == "in_service") return EndpointState::available;
@@ -37,124 +41,194 @@
   if (word == "terminated") return EndpointState::removed;
   return std::nullopt;
 }
-std::optional<Locality> locality(const std::string& az, const settings::Names& names) {
+
+std::optional<Locality> locality(const std::string& zone, const settings::Names& names) {
   try {
-    return settings::locality(names, az);
+    return settings::locality(names, zone);
   } catch (const settings::InputError&) {
     return std::nullopt;
   }
 }
 
+std::optional<std::string> valid_uid(const json& entry) {
+  auto uid = entry.is_object() ? text(entry, "uid") : std::nullopt;
+  if (!uid || uid->empty() || uid->size() > kMaxUidBytes) return std::nullopt;
+  return uid;
+}
+
+// A list object whose fields, but for those of the entries, are valid.
+struct ListObject {
+  json object;
+  const json* targets = nullptr;  // in object
+  bool complete = false;
+  double revision = 0;
+};
+
+ListObject parse_list(std::string_view bytes) {
+  ListObject list{.object = json::parse(bytes, nullptr, false)};
+  if (!list.object.is_object()) throw EndpointListError("the list is no JSON object", "", "a JSON object");
+  const json& object = list.object;
+  auto targets = object.find("targets");
+  if (targets == object.end() || !targets->is_array())
+    throw EndpointListError("field targets is no array", "targets", "an array");
+  auto complete = object.find("all");
+  if (complete == object.end() || !complete->is_boolean())
+    throw EndpointListError("field all is neither true nor false", "all", "true or false");
+  auto revision = number(object, "rev", kMaxRevision);
+  if (!revision) throw EndpointListError("field rev is no version", "rev", "a number of 0 or more");
+  list.targets = &*targets;
+  list.complete = complete->get<bool>();
+  list.revision = *revision;
+  return list;
+}
+
+void add_error(Directory::Change& change, const std::string& uid, const char* field) {
+  if (change.errors.size() < kMaxErrors) change.errors.push_back({uid, field});
+}
+
 }  // namespace
 
-// The same at all assigners and after each start, whatever came first: tables are dealt in an order made of
-// ids. Where two names meet in one number the later one takes the next that is free.
-EndpointId Directory::id_of(const std::string& uid) {
+struct Directory::WireEntry {
+  const json& object;
+  std::string uid;
+  std::string zone;
+  std::optional<Locality> locality;
+  std::optional<EndpointState> state;
+};
+
+std::string ListEntryError::message() const {
+  return (uid.empty() ? "an entry" : uid) + ": field " + field + " is unusable";
+}
+
+// Derived from the uid, so that an id is the same at all assigners and after each start, whatever came first:
+// subsets are drawn in an order made of ids. Where two uids have the same hash, the later one takes the next
+// free number.
+EndpointId Directory::assign_id(const std::string& uid) {
   if (auto known = ids_.find(uid); known != ids_.end()) return known->second;
   EndpointId id{static_cast<std::uint32_t>(XXH64(uid.data(), uid.size(), 0))};
-  while (held_.contains(id)) id = EndpointId{static_cast<std::uint32_t>(id) + 1};
-  return ids_[uid] = id;
+  while (entries_.contains(id)) id = EndpointId{static_cast<std::uint32_t>(id) + 1};
+  ids_[uid] = id;
+  return id;
 }
 
-Directory::Told Directory::take(std::string_view bytes, const settings::Names& names, Ms now,
-                                double wall_now) {
-  json object = json::parse(bytes, nullptr, false);
-  if (!object.is_object()) throw std::runtime_error("the list is no JSON object");
-  auto targets = object.find("targets");
-  if (targets == object.end() || !targets->is_array()) throw std::runtime_error("field targets is no array");
-  auto whole = object.find("all");
-  if (whole == object.end() || !whole->is_boolean())
-    throw std::runtime_error("field all is neither true nor false");
-  auto version = number(object, "rev", 9e15);
-  if (!version) throw std::runtime_error("field rev is no version");
-
-  Told told;
-  bool all = whole->get<bool>();
-  told.old = *version < static_cast<double>(version_);
-  // A whole list of an older revision leaves out what came since: it says of nobody that he is gone.
-  told.list.kind = all && !told.old ? EndpointListKind::complete : EndpointListKind::incremental;
-  std::set<EndpointId> named;
-  auto fault = [&](const std::string& uid, const char* field) {
-    if (told.faults.size() < kMostFaults) told.faults.push_back(uid + ": field " + field + " is unusable");
-  };
-  for (const json& entry : *targets) {
-    auto uid = entry.is_object() ? text(entry, "uid") : std::nullopt;
-    if (!uid || uid->empty() || uid->size() > kMostUid) {
-      fault("an entry", "uid");
+Directory::Change Directory::apply(std::string_view bytes, const settings::Names& names, Ms now,
+                                   double wall_now) {
+  const ListObject list = parse_list(bytes);
+  Change change;
+  change.outdated = list.revision < static_cast<double>(version_);
+  // A complete list of an outdated revision lacks what was added since: nobody is removed for it.
+  change.list.kind =
+      list.complete && !change.outdated ? EndpointListKind::complete : EndpointListKind::incremental;
+  for (const json& object : *list.targets) {
+    auto uid = valid_uid(object);
+    if (!uid) {
+      add_error(change, "", "uid");
       continue;
     }
-    auto known = find(*uid);
-    std::string az = text(entry, "az").value_or("");
-    auto where = locality(az, names);
-    auto is = state(entry);
-    if (!where) fault(*uid, "az");
-    if (!is) fault(*uid, "state");
-    // Of an endpoint never heard of before, these two can't be guessed; of a known one, what was said holds.
-    if (!known && (!where || !is)) continue;
-    if (told.old && known) {  // no undrain, no return of who is gone, no start taken back
-      const Held& held = held_.at(*known);
-      bool later = number(entry, "boot_ms", kMostWall).value_or(0) > held.started_wall;
-      if (!later && (!is || *is <= held.listed.state)) continue;
-    }
-    EndpointId id = id_of(*uid);
-    Held& held = held_[id];
-    held.uid = *uid, held.listed.id = id;
-    if (where) held.listed.locality = *where, held.az = az;
-    if (is) held.listed.state = *is;
-    held.present = held.listed.state != EndpointState::removed;
-    if (!held.present) held.gone = now;
-    if (auto cell = number(entry, "pod_group", 4e9); cell && *cell == std::floor(*cell))
-      held.listed.cell = static_cast<std::uint32_t>(*cell);
-    else fault(*uid, "pod_group");
-    if (auto size = number(entry, "capacity_hint", kMostSize); size && *size > 0)
-      held.listed.capacity = *size;
-    else fault(*uid, "capacity_hint");
-    if (auto at = net::parse_address(text(entry, "endpoint").value_or(""))) held.address = *at;
-    else fault(*uid, "endpoint");
-    if (auto start = number(entry, "boot_ms", kMostWall); !start) {
-      fault(*uid, "boot_ms");
-    } else if (*start != held.started_wall) {
-      held.started_wall = *start;
-      held.listed.start_time_known = *start > 0;
-      held.listed.start_time = Time(Duration(*start - wall_now + now));
-    }
-    named.insert(id);
-    told.list.entries.push_back(held.listed);
+    std::string zone = text(object, "az").value_or("");
+    auto locality_of_zone = locality(zone, names);
+    apply_entry({object, std::move(*uid), std::move(zone), locality_of_zone, state(object)}, now, wall_now,
+                change);
+  }
+  // A revision that was applied in part is requested again, however valid the next ones are: what was lost of
+  // the malformed entry may be a drain.
+  is_complete_ = change.errors.empty() && (is_complete_ || list.complete);
+  if (is_complete_) version_ = static_cast<std::uint64_t>(list.revision);
+  if (change.list.kind == EndpointListKind::complete) remove_unlisted(change, now);
+  forget_removed(now);
+  return change;
+}
+
+// Whether an outdated entry of a known endpoint would take back a drain, a removal or a start.
+bool Directory::goes_back(const WireEntry& wire, EndpointId id) const {
+  const Entry& entry = entries_.at(id);
+  const bool started_later = number(wire.object, "boot_ms", kMaxWallMs).value_or(0) > entry.start_wall_ms;
+  return !started_later && (!wire.state || *wire.state <= entry.listed.state);
+}
+
+void Directory::apply_entry(const WireEntry& wire, Ms now, double wall_now, Change& change) {
+  auto known = find(wire.uid);
+  if (!wire.locality) add_error(change, wire.uid, "az");
+  if (!wire.state) add_error(change, wire.uid, "state");
+  // These two can't be guessed of a new endpoint; of a known one, the former values hold.
+  if (!known && (!wire.locality || !wire.state)) return;
+  if (change.outdated && known && goes_back(wire, *known)) return;
+
+  const EndpointId id = assign_id(wire.uid);
+  Entry& entry = entries_[id];
+  entry.uid = wire.uid;
+  entry.listed.id = id;
+  if (wire.locality) {
+    entry.listed.locality = *wire.locality;
+    entry.zone = wire.zone;
   }
-  // A version that was taken in part is asked for again, however sound those after it are: what it had to
-  // tell of the spoilt entry may be a drain.
-  whole_ = told.faults.empty() && (whole_ || all);
-  if (whole_) version_ = static_cast<std::uint64_t>(*version);
-  if (told.list.kind == EndpointListKind::complete)
-    for (auto& [id, held] : held_)
-      if (!named.contains(id) && held.present)
-        held.present = false, held.listed.state = EndpointState::removed, held.gone = now;
-  forget(now);
-  return told;
-}
-
-// An order may name an endpoint for some time after it is gone, to remove its line; not for good.
-void Directory::forget(Ms now) {
-  std::erase_if(held_, [&](auto& entry) {
-    const Held& held = entry.second;
-    if (held.present || now - held.gone < kGoneKept) return false;
-    ids_.erase(held.uid);
+  if (wire.state) entry.listed.state = *wire.state;
+  entry.present = entry.listed.state != EndpointState::removed;
+  if (!entry.present) entry.removed_at = now;
+
+  auto cell = number(wire.object, "pod_group", kMaxCell);
+  if (cell && *cell == std::floor(*cell)) entry.listed.cell = static_cast<std::uint32_t>(*cell);
+  else add_error(change, wire.uid, "pod_group");
+
+  auto capacity = number(wire.object, "capacity_hint", kMaxCapacity);
+  if (capacity && *capacity > 0) entry.listed.capacity = *capacity;
+  else add_error(change, wire.uid, "capacity_hint");
+
+  auto address = net::parse_address(text(wire.object, "endpoint").value_or(""));
+  if (address) entry.address = *address;
+  else add_error(change, wire.uid, "endpoint");
+
+  auto start = number(wire.object, "boot_ms", kMaxWallMs);
+  if (!start) {
+    add_error(change, wire.uid, "boot_ms");
+  } else if (*start != entry.start_wall_ms) {
+    entry.start_wall_ms = *start;
+    entry.listed.start_time_known = *start > 0;
+    entry.listed.start_time = Time(Duration(*start - wall_now + now));
+  }
+  change.list.entries.push_back(entry.listed);
+}
+
+void Directory::remove_unlisted(const Change& change, Ms now) {
+  std::set<EndpointId> named;
+  for (const ListedEndpoint& listed : change.list.entries) named.insert(listed.id);
+  for (auto& [id, entry] : entries_) {
+    if (named.contains(id) || !entry.present) continue;
+    entry.present = false;
+    entry.listed.state = EndpointState::removed;
+    entry.removed_at = now;
+  }
+}
+
+// An update may name an endpoint for some time after its removal, to remove its weight. Not for good: fleets
+// replace all endpoints in time, and the directory would grow without bound.
+void Directory::forget_removed(Ms now) {
+  std::erase_if(entries_, [&](const auto& id_and_entry) {
+    const Entry& entry = id_and_entry.second;
+    if (entry.present || now - entry.removed_at < kForgetRemovedAfter) return false;
+    ids_.erase(entry.uid);
     return true;
   });
 }
 
 void Directory::rename(const settings::Names& names) {
-  for (auto& [id, held] : held_)
-    if (auto where = locality(held.az, names)) held.listed.locality = *where;
-    else held.present = false, held.listed.state = EndpointState::removed, held.listed.locality = Locality{};
+  for (auto& [id, entry] : entries_) {
+    if (auto renamed = locality(entry.zone, names)) {
+      entry.listed.locality = *renamed;
+    } else {
+      entry.present = false;
+      entry.listed.state = EndpointState::removed;
+      entry.listed.locality = Locality{};
+    }
+  }
   version_ = 0;
 }
 
-std::vector<ListedEndpoint> Directory::all() const {
-  std::vector<ListedEndpoint> out;
-  for (auto& [id, held] : held_)
-    if (held.present) out.push_back(held.listed);
-  return out;
+std::vector<ListedEndpoint> Directory::listed() const {
+  std::vector<ListedEndpoint> endpoints;
+  for (const auto& [id, entry] : entries_)
+    if (entry.present) endpoints.push_back(entry.listed);
+  return endpoints;
 }
 
 std::optional<EndpointId> Directory::find(std::string_view uid) const {
@@ -164,13 +238,13 @@
 }
 
 const std::string* Directory::uid(EndpointId id) const {
-  auto found = held_.find(id);
-  return found == held_.end() ? nullptr : &found->second.uid;
+  auto found = entries_.find(id);
+  return found == entries_.end() ? nullptr : &found->second.uid;
 }
 
 std::optional<net::Address> Directory::address(EndpointId id) const {
-  auto found = held_.find(id);
-  return found == held_.end() ? std::nullopt : found->second.address;
+  auto found = entries_.find(id);
+  return found == entries_.end() ? std::nullopt : found->second.address;
 }
 
 }  // namespace beamshunt::platform
--- a/src/platform/list_watch.cpp
+++ b/src/platform/list_watch.cpp
@@ -2,74 +2,89 @@
 
 #include <algorithm>
 #include <cmath>
-#include <stdexcept>
 
 namespace beamshunt::platform {
 namespace {
 
-constexpr std::size_t kMostObject = 4 * 1048576;  // bytes
-// ms to the first retry, and to any: what discovery has to tell counts as told 6 s later, heard or not.
-constexpr Ms kRetryFirst = 250, kRetryMost = 2000;
-constexpr int kRetryDoublings = 3;
+// Bytes of one object: more than the complete list of the largest fleet.
+constexpr std::size_t kMaxObjectBytes = 4 * 1048576;
+// ms to the first retry: discovery may only have restarted.
+constexpr Ms kFirstRetryDelay = 250;
+// ms to any retry: what discovery has to tell counts as told after 6 s, received or not.
+constexpr Ms kMaxRetryDelay = 2000;
+// Doublings of the delay: the first delay reaches the longest one.
+constexpr int kMaxRetryDoublings = 3;
+// Part of the delay that the jitter leaves at the least: assigners spread over half of it.
+constexpr double kMinRetryJitter = 0.5;
 
 }  // namespace
 
-ListWatch::Number ListWatch::open(std::vector<Number>& closed) {
-  // One that tells and one that is on its way are all that is ever of use: a burst of moves opens no more.
-  std::erase_if(watches_, [&](auto& watch) {
-    if (watch.second.tells) return false;
-    closed.push_back(watch.first);
+ListWatch::Opened ListWatch::open() {
+  Opened opened;
+  // The watch that serves and the one on its way are all that is ever of use. Without this, a burst of address
+  // changes would hold open a watch for each.
+  std::erase_if(watches_, [&](const auto& watch) {
+    if (watch.second.serves) return false;
+    opened.superseded.push_back(watch.first);
     return true;
   });
-  watches_[++last_];
-  return last_;
+  opened.id = ++last_id_;
+  watches_.try_emplace(opened.id);
+  return opened;
 }
 
-std::vector<std::string> ListWatch::bytes(Number number, std::string_view piece) {
+std::vector<std::string> ListWatch::receive(Id id, std::string_view bytes) {
   std::vector<std::string> objects;
-  auto watch = watches_.find(number);
+  auto watch = watches_.find(id);
   if (watch == watches_.end()) return objects;
-  std::string& begun = watch->second.begun;
-  std::size_t looked = begun.size(), from = 0;
-  begun.append(piece);
-  for (std::size_t end; (end = begun.find('\n', std::max(from, looked))) != begun.npos; from = end + 1) {
-    std::string_view line = std::string_view(begun).substr(from, end - from);
-    if (line.find_first_not_of(" \r") != line.npos) objects.emplace_back(line);
+  std::string& buffer = watch->second.unfinished;
+  const std::size_t searched = buffer.size();
+  buffer.append(bytes);
+  std::size_t begin = 0;
+  while (true) {
+    std::size_t end = buffer.find('\n', std::max(begin, searched));
+    if (end == std::string::npos) break;
+    std::string_view line = std::string_view(buffer).substr(begin, end - begin);
+    if (line.find_first_not_of(" \r") != std::string_view::npos) objects.emplace_back(line);
+    begin = end + 1;
   }
-  begun.erase(0, from);
-  if (begun.size() > kMostObject) throw std::runtime_error("an object of the list does not end");
+  buffer.erase(0, begin);
+  if (buffer.size() > kMaxObjectBytes) throw WatchError("an object of the list does not end");
   return objects;
 }
 
-std::vector<ListWatch::Number> ListWatch::tells(Number number) {
-  std::vector<Number> former;
-  auto watch = watches_.find(number);
+std::vector<ListWatch::Id> ListWatch::mark_serving(Id id) {
+  std::vector<Id> former;
+  auto watch = watches_.find(id);
   if (watch == watches_.end()) return former;
-  watch->second.tells = true;
-  failures_ = 0;
-  while (watches_.begin()->first < number) {
+  watch->second.serves = true;
+  failures_in_a_row_ = 0;
+  while (watches_.begin()->first < id) {
     former.push_back(watches_.begin()->first);
     watches_.erase(watches_.begin());
   }
   return former;
 }
 
-ListWatch::Loss ListWatch::ended(Number number, Ms now) {
-  auto watch = watches_.find(number);
-  if (watch == watches_.end()) return Loss::none;
-  bool newest = watches_.rbegin()->first == number;
+ListWatch::EndEffect ListWatch::end(Id id, Ms now) {
+  auto watch = watches_.find(id);
+  if (watch == watches_.end()) return EndEffect::none;
+  const bool was_newest = watches_.rbegin()->first == id;
   watches_.erase(watch);
-  if (!newest) return Loss::none;
-  Ms wait = std::min(kRetryMost, kRetryFirst * std::exp2(std::min(failures_++, kRetryDoublings)));
-  retry_at_ = now + wait * std::uniform_real_distribution<>(0.5, 1)(random_);
-  return watches_.empty() ? Loss::list_lost : Loss::newest;
+  if (!was_newest) return EndEffect::none;
+  const int doublings = std::min(failures_in_a_row_, kMaxRetryDoublings);
+  ++failures_in_a_row_;
+  const Ms delay = std::min(kMaxRetryDelay, kFirstRetryDelay * std::exp2(doublings));
+  retry_at_ = now + delay * std::uniform_real_distribution<>(kMinRetryJitter, 1)(random_);
+  return watches_.empty() ? EndEffect::all_lost : EndEffect::newest_lost;
 }
 
-std::vector<ListWatch::Number> ListWatch::close_all() {
-  std::vector<Number> all;
-  for (auto& [number, watch] : watches_) all.push_back(number);
+std::vector<ListWatch::Id> ListWatch::close_all() {
+  std::vector<Id> closed;
+  closed.reserve(watches_.size());
+  for (const auto& [id, watch] : watches_) closed.push_back(id);
   watches_.clear();
-  return all;
+  return closed;
 }
 
 }  // namespace beamshunt::platform
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -5,6 +5,7 @@
 #include <cmath>
 #include <limits>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 #include "base/parse.h"
 
@@ -13,77 +14,116 @@
 
 using nlohmann::json;
 
-// What no sound report holds: more is a slip of the sender's, and would weigh more than all others together.
-constexpr double kMostTries = 1e7;       // of one report
-constexpr Ms kMostSpan = 600000;         // ms that a report spans, or that a try takes
-constexpr double kMostRate = 1e6;        // requests a second of one proxy
-constexpr double kMostLoadFigure = 1e9;  // of a load report
-constexpr std::size_t kMostUid = 256;    // bytes
-constexpr std::size_t kLineKept = 4096;  // bytes that an idle reader keeps: there is one a connection
+// Bounds of a sound report. More is an error of the sender's, and would outweigh all other reports together.
+constexpr double kMaxAttempts = 1e7;        // attempts or requests of one report: beyond any proxy's rate
+constexpr Ms kMaxDuration = 600000;         // ms that a report covers or an attempt takes: far past deadlines
+constexpr double kMaxExpectedRate = 1e6;    // requests a second of one proxy: beyond what one machine serves
+constexpr double kMaxLoadFigure = 1e9;      // any figure of a load report: beyond any unit in use
+constexpr std::size_t kMaxTextBytes = 256;  // bytes of a name: what is logged and returned stays short
+constexpr std::size_t kKeptBufferBytes =
+    4096;  // bytes an idle reader keeps: there is one for each connection
 
-[[noreturn]] void spoilt(const std::string& what) { throw Unusable(Unusable::Scope::message, what); }
-[[noreturn]] void unreadable(const std::string& what) { throw Unusable(Unusable::Scope::connection, what); }
+[[noreturn]] void fail_message(const std::string& reason, ProtocolError::Detail detail) {
+  throw ProtocolError(ProtocolError::Scope::message, reason, std::move(detail));
+}
+[[noreturn]] void fail_connection(const std::string& reason, std::string expected) {
+  throw ProtocolError(ProtocolError::Scope::connection, reason, {.expected = std::move(expected)});
+}
+// `problem` completes the sentence "field NAME ..." that the peer is told.
+[[noreturn]] void fail_field(const std::string& name, const std::string& problem, std::string value,
+                             std::string expected) {
+  fail_message("field " + name + " " + problem, {name, std::move(value), std::move(expected)});
+}
 
-class Object {
+// For the error's detail only: a peer may have sent a value of any size.
+std::string excerpt(const json& value) {
+  std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
+  if (text.size() > kMaxTextBytes) text.resize(kMaxTextBytes);
+  return text;
+}
+
+// Typed access to a message's fields. Each method throws ProtocolError of scope `message`.
+class MessageFields {
  public:
-  explicit Object(const json& object) : object_(object) {}
+  explicit MessageFields(const json& object) : object_(object) {}
 
-  const json& at(const char* name) const {
+  [[nodiscard]] const json& at(const char* name) const {
     auto found = object_.find(name);
-    if (found == object_.end()) spoilt(std::string("field ") + name + " is missing");
+    if (found == object_.end()) fail_field(name, "is missing", "", "the field");
     return *found;
   }
-  bool has(const char* name) const { return object_.contains(name); }
-  std::string text(const char* name) const {
+  [[nodiscard]] bool has(const char* name) const { return object_.contains(name); }
+
+  [[nodiscard]] std::string text(const char* name) const {
     const json& value = at(name);
-    if (!value.is_string()) spoilt(std::string("field ") + name + " is no text");
+    if (!value.is_string()) fail_field(name, "is no text", excerpt(value), "a text");
     auto text = value.get<std::string>();
-    if (text.empty() || text.size() > kMostUid)
-      spoilt(std::string("field ") + name + " is empty or too long");
+    if (text.empty() || text.size() > kMaxTextBytes)
+      fail_field(name, "is empty or too long", excerpt(value),
+                 "1 to " + std::to_string(kMaxTextBytes) + " bytes");
     return text;
   }
-  double number(const char* name, double most) const {
+
+  [[nodiscard]] double number(const char* name, double max) const {
     const json& value = at(name);
-    if (!value.is_number()) spoilt(std::string("field ") + name + " is no number");
-    double number = value.get<double>();
-    if (!std::isfinite(number) || number < 0 || number > most)
-      spoilt(std::string("field ") + name + " is out of range: " + value.dump());
+    if (!value.is_number()) fail_field(name, "is no number", excerpt(value), "a number");
+    auto number = value.get<double>();
+    if (!std::isfinite(number) || number < 0 || number > max)
+      fail_field(name, "is out of range: " + value.dump(), excerpt(value), "0 to " + json(max).dump());
     return number;
   }
-  double whole(const char* name, double most) const {
-    double value = number(name, most);
-    if (value != std::floor(value)) spoilt(std::string("field ") + name + " is no whole number");
+
+  [[nodiscard]] double integer(const char* name, double max) const {
+    double value = number(name, max);
+    if (value != std::floor(value))
+      fail_field(name, "is no whole number", excerpt(at(name)), "a whole number");
     return value;
   }
-  bool flag(const char* name) const {
+
+  [[nodiscard]] bool flag(const char* name) const {
     const json& value = at(name);
-    if (!value.is_boolean()) spoilt(std::string("field ") + name + " is neither true nor false");
+    if (!value.is_boolean()) fail_field(name, "is neither true nor false", excerpt(value), "true or false");
     return value.get<bool>();
   }
 
- private:
-  const json& object_;
-};
+  // The time that a report covers, above 0: rates are divided by it.
+  [[nodiscard]] Ms interval() const {
+    Ms interval = number("interval", kMaxDuration);
+    if (interval <= 0) fail_field("interval", "is 0", "0", "ms above 0");
+    return interval;
+  }
 
-Locality locality(const Object& o, const settings::Names& names) {
-  try {
-    return settings::locality(names, o.text("locality"));
-  } catch (const settings::InputError& error) {
-    spoilt(error.what());
+  [[nodiscard]] Locality locality(const settings::Names& names) const {
+    std::string name = text("locality");
+    try {
+      return settings::locality(names, name);
+    } catch (const settings::InputError& error) {
+      fail_message(error.what(), {"locality", name, "a locality of the settings"});
+    }
   }
-}
-ClassId request_class(const Object& o, const settings::Names& names) {
-  try {
-    return settings::request_class(names, o.text("route"));
-  } catch (const settings::InputError& error) {
-    spoilt(error.what());
+
+  [[nodiscard]] ClassId request_class(const settings::Names& names) const {
+    std::string name = text("route");
+    try {
+      return settings::request_class(names, name);
+    } catch (const settings::InputError& error) {
+      fail_message(error.what(), {"route", name, "a class of the settings"});
+    }
   }
-}
-ProxyId proxy(const Object& o, int proxies) { return ProxyId(o.whole("node", proxies - 1)); }
 
-// The platform's names of load figures and the module's. A task may report by either: its settings name the
-// columns as the module knows them, the protocol's page by the shorter ones.
-constexpr std::array<std::pair<std::string_view, std::string_view>, 6> kLoadNames = {{
+  [[nodiscard]] ProxyId proxy(int proxy_count) const { return ProxyId(integer("node", proxy_count - 1)); }
+
+ private:
+  const json& object_;
+};
+
+struct LoadFigureName {
+  std::string_view wire;
+  std::string_view controller;
+};
+// An endpoint may report by either name: its settings name the columns as the controller knows them, the
+// protocol's page by the shorter ones.
+constexpr std::array<LoadFigureName, 6> kLoadFigureNames = {{
     {"util", "utilization"},
     {"queue", "backlog"},
     {"inflight", "outstanding"},
@@ -91,149 +131,193 @@
     {"qps", "throughput"},
     {"eps", "errors_per_s"},
 }};
-void note_load(LoadReport& load, std::string_view name, double value) {
-  auto found = std::find_if(kLoadNames.begin(), kLoadNames.end(),
-                            [&](auto& n) { return n.first == name || n.second == name; });
-  if (found != kLoadNames.end()) load[std::string(found->second)] = value;
-}
-bool sound_load(double value) { return std::isfinite(value) && value >= 0 && value <= kMostLoadFigure; }
-
-EndpointReportMessage endpoint_report(const Object& o, const settings::Names& names) {
-  EndpointReportMessage m;
-  m.from = locality(o, names);
-  m.uid = o.text("endpoint");
-  m.tries = o.whole("total", kMostTries);
-  m.failed = o.whole("errors", m.tries);
-  // Where no try was answered there is no mean time to give.
-  if (m.failed < m.tries || o.has("rtt")) m.latency = o.number("rtt", kMostSpan);
-  m.span = o.number("interval", kMostSpan);
-  if (m.span <= 0) spoilt("field interval is 0");
-  if (!o.has("metrics") || o.at("metrics").is_null()) return m;
-  const json& metrics = o.at("metrics");
-  if (!metrics.is_object()) spoilt("field metrics is no object");
-  for (auto& [name, value] : metrics.items()) {
-    if (!value.is_number() || !sound_load(value.get<double>()))
-      spoilt("field metrics." + name.substr(0, kMostUid) + " is unusable");
-    note_load(m.load, name, value.get<double>());
+
+// Figures that the controller does not know are left out.
+void set_load_figure(LoadReport& load, std::string_view name, double value) {
+  auto found = std::find_if(kLoadFigureNames.begin(), kLoadFigureNames.end(), [&](const auto& known) {
+    return known.wire == name || known.controller == name;
+  });
+  if (found != kLoadFigureNames.end()) load[std::string(found->controller)] = value;
+}
+
+bool is_valid_load_figure(double value) {
+  return std::isfinite(value) && value >= 0 && value <= kMaxLoadFigure;
+}
+
+LoadReport load_report(const json& metrics) {
+  if (!metrics.is_object()) fail_field("metrics", "is no object", excerpt(metrics), "an object");
+  LoadReport load;
+  for (const auto& [name, value] : metrics.items()) {
+    if (!value.is_number() || !is_valid_load_figure(value.get<double>()))
+      fail_field("metrics." + name.substr(0, kMaxTextBytes), "is unusable", excerpt(value),
+                 "0 to " + json(kMaxLoadFigure).dump());
+    set_load_figure(load, name, value.get<double>());
   }
-  return m;
+  return load;
+}
+
+EndpointReportMessage endpoint_report(const MessageFields& fields, const settings::Names& names) {
+  EndpointReportMessage report;
+  report.source_locality = fields.locality(names);
+  report.uid = fields.text("endpoint");
+  report.attempts = fields.integer("total", kMaxAttempts);
+  report.failed = fields.integer("errors", report.attempts);
+  // Where no attempt succeeded there is no mean latency to give.
+  if (report.failed < report.attempts || fields.has("rtt"))
+    report.mean_latency = fields.number("rtt", kMaxDuration);
+  report.interval = fields.interval();
+  if (fields.has("metrics") && !fields.at("metrics").is_null())
+    report.load = load_report(fields.at("metrics"));
+  return report;
+}
+
+DemandReportMessage demand_report(const MessageFields& fields, const settings::Names& names,
+                                  int proxy_count) {
+  DemandReportMessage report;
+  report.proxy = fields.proxy(proxy_count);
+  report.request_class = fields.request_class(names);
+  report.arrivals = fields.integer("total", kMaxAttempts);
+  // May be more than the arrivals: some of the failed ones arrived in an earlier interval.
+  report.failed = fields.integer("errors", kMaxAttempts);
+  report.interval = fields.interval();
+  return report;
+}
+
+ProxyRegistration proxy_registration(const MessageFields& fields, const settings::Names& names,
+                                     int proxy_count) {
+  ProxyRegistration registration;
+  registration.proxy = fields.proxy(proxy_count);
+  registration.locality = fields.locality(names);
+  registration.expected_rate = fields.number("w", kMaxExpectedRate);
+  registration.only_static_tables = fields.flag("cold");
+  return registration;
 }
 
-DemandReportMessage demand_report(const Object& o, const settings::Names& names, int proxies) {
-  DemandReportMessage m;
-  m.proxy = proxy(o, proxies);
-  m.request_class = request_class(o, names);
-  m.came = o.whole("total", kMostTries);
-  m.unanswered = o.whole("errors", kMostTries);  // more than came: some came in an interval before this one
-  m.span = o.number("interval", kMostSpan);
-  if (m.span <= 0) spoilt("field interval is 0");
-  return m;
+Ack ack(const MessageFields& fields, int proxy_count) {
+  Ack ack;
+  ack.proxy = fields.proxy(proxy_count);
+  ack.nonce = static_cast<std::uint32_t>(fields.integer("nonce", std::numeric_limits<std::uint32_t>::max()));
+  ack.latency = fields.number("latency", kMaxDuration);
+  return ack;
+}
+
+std::string_view trim_figure(std::string_view text) {
+  while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\n' || text.back() == '\r'))
+    text.remove_suffix(1);
+  return text;
+}
+
+json part_object(const UpdatePart& part, const settings::Names& names) {
+  json object = {{"t", "push"}};
+  // Without "for", all classes are meant.
+  const ClassMask all_classes = (ClassMask{1} << names.classes.size()) - 1;
+  if (part.classes != 0 && part.classes != all_classes)
+    for (std::size_t index = 0; index < names.classes.size(); ++index)
+      if ((part.classes >> index & 1) != 0) object["for"].push_back(names.classes[index]);
+  if (part.replaces_table) object["replace"] = true;
+  if (part.replaces_table || !part.weights.empty()) object["rows"] = json::array();
+  for (const WeightEntry& entry : part.weights)
+    object["rows"].push_back(json::array({entry.uid, entry.weight}));
+  if (part.limit) {
+    object["gate"] = part.limit->admission_limit;
+    object["again"] = static_cast<int>(part.limit->retry_mode);
+  }
+  if (!part.excluded.empty()) object["drop"] = part.excluded;
+  if (!part.readmitted.empty()) object["undrop"] = part.readmitted;
+  return object;
 }
 
 }  // namespace
 
 std::optional<std::string> LineReader::next() {
-  std::size_t end = held_.find('\n', std::max(taken_, looked_));
-  std::string_view line = std::string_view(held_).substr(taken_, end == held_.npos ? end : end - taken_);
-  if (line.size() > most_) unreadable("a message is longer than " + std::to_string(most_) + " bytes");
+  std::size_t end = buffer_.find('\n', std::max(consumed_, searched_));
+  std::string_view line =
+      std::string_view(buffer_).substr(consumed_, end == std::string::npos ? end : end - consumed_);
+  if (line.size() > max_line_bytes_) {
+    std::string limit = std::to_string(max_line_bytes_) + " bytes";
+    fail_connection("a message is longer than " + limit, "at most " + limit);
+  }
   std::size_t first = line.find_first_not_of(" \t\r");
-  if (first != line.npos && line[first] != '{') unreadable("a message is no JSON object");
-  if (end == held_.npos) {
-    held_.erase(0, std::exchange(taken_, 0));
-    looked_ = held_.size();
-    if (held_.empty() && held_.capacity() > kLineKept) std::string().swap(held_);
+  if (first != std::string_view::npos && line[first] != '{')
+    fail_connection("a message is no JSON object", "a JSON object a line");
+  if (end == std::string::npos) {
+    buffer_.erase(0, std::exchange(consumed_, 0));
+    searched_ = buffer_.size();
+    if (buffer_.empty() && buffer_.capacity() > kKeptBufferBytes) std::string().swap(buffer_);
     return std::nullopt;
   }
-  std::string out(line);
-  taken_ = end + 1;
-  looked_ = taken_;
-  return out;
+  std::string complete(line);
+  consumed_ = end + 1;
+  searched_ = consumed_;
+  return complete;
 }
 
-Message parse_message(std::string_view line, const settings::Names& names, int proxies) {
+Message parse_message(std::string_view line, const settings::Names& names, int proxy_count) {
   json object = json::parse(line, nullptr, false);
-  // Between its braces a message may hold what no reader takes (a number beyond all range): the stream's
-  // lines still stand apart, so this one alone is lost.
+  // Between its braces a message may hold what no parser accepts, such as a number beyond all range. The
+  // connection's lines are still told apart, so this message alone is lost.
   std::size_t last = line.find_last_not_of(" \t\r");
-  if (object.is_discarded() && last != line.npos && line[last] == '}') spoilt("a message can't be read");
-  if (!object.is_object()) unreadable("a message is no JSON object");
-  Object o(object);
-  std::string kind = o.text("t");
+  if (object.is_discarded() && last != std::string_view::npos && line[last] == '}')
+    fail_message("a message can't be read", {.expected = "a JSON object"});
+  if (!object.is_object()) fail_connection("a message is no JSON object", "a JSON object a line");
+
+  MessageFields fields(object);
+  std::string kind = fields.text("t");
   if (kind == "probe") return HealthCheckRequest{};
-  if (kind == "agent") return CollectorRegistration{locality(o, names)};
-  if (kind == "hello") {
-    ProxyRegistration m;
-    m.proxy = proxy(o, proxies);
-    m.locality = locality(o, names);
-    m.usual_rate = o.number("w", kMostRate);
-    m.only_standing = o.flag("cold");
-    return m;
-  }
-  if (kind == "ack") {
-    Ack m;
-    m.proxy = proxy(o, proxies);
-    m.nonce = static_cast<std::uint32_t>(o.whole("nonce", std::numeric_limits<std::uint32_t>::max()));
-    m.latency = o.number("latency", kMostSpan);
-    return m;
-  }
-  if (kind == "outcomes") return endpoint_report(o, names);
-  if (kind == "demand") return demand_report(o, names, proxies);
-  spoilt("kind " + kind + " is not one that an assigner takes");
+  if (kind == "agent") return CollectorRegistration{fields.locality(names)};
+  if (kind == "hello") return proxy_registration(fields, names, proxy_count);
+  if (kind == "ack") return ack(fields, proxy_count);
+  if (kind == "outcomes") return endpoint_report(fields, names);
+  if (kind == "demand") return demand_report(fields, names, proxy_count);
+  fail_message("kind " + kind + " is not one that an assigner takes",
+               {"t", kind, "probe, agent, hello, ack, outcomes or demand"});
 }
 
-LoadReport parse_load(std::string_view text) {
-  LoadReport out;
-  constexpr std::string_view kForm = "TEXT ";
-  if (!text.starts_with(kForm)) return out;
-  text.remove_prefix(kForm.size());
+LoadReport parse_load_report(std::string_view text) {
+  LoadReport load;
+  constexpr std::string_view kPrefix = "TEXT ";
+  if (!text.starts_with(kPrefix)) return load;
+  text.remove_prefix(kPrefix.size());
   while (!text.empty()) {
     std::size_t comma = text.find(',');
-    std::string_view pair = text.substr(0, comma);
-    text = comma == text.npos ? std::string_view{} : text.substr(comma + 1);
-    while (!pair.empty() && (pair.front() == ' ')) pair.remove_prefix(1);
-    while (!pair.empty() && (pair.back() == ' ' || pair.back() == '\n' || pair.back() == '\r'))
-      pair.remove_suffix(1);
-    std::size_t equals = pair.find('=');
-    if (equals == pair.npos) continue;
-    if (auto value = base::parse_number<double>(pair.substr(equals + 1)); value && sound_load(*value))
-      note_load(out, pair.substr(0, equals), *value);
+    std::string_view figure = trim_figure(text.substr(0, comma));
+    text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
+    std::size_t equals = figure.find('=');
+    if (equals == std::string_view::npos) continue;
+    auto value = base::parse_number<double>(figure.substr(equals + 1));
+    if (value && is_valid_load_figure(*value)) set_load_figure(load, figure.substr(0, equals), *value);
   }
-  return out;
+  return load;
 }
 
 std::string alive_line() { return "{\"t\":\"alive\"}\n"; }
+
 std::string error_line(std::string_view reason) {
   return json{{"t", "error"}, {"reason", reason}}.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-std::string push_lines(std::vector<Part> parts, std::optional<std::uint32_t> nonce,
-                       const settings::Names& names) {
+std::string update_lines(std::vector<UpdatePart> parts, std::optional<std::uint32_t> nonce,
+                         const settings::Names& names) {
   if (parts.empty()) parts.emplace_back();  // a nonce alone
-  std::string out;
-  for (std::size_t k = 0; k < parts.size(); ++k) {
-    const Part& part = parts[k];
-    json line = {{"t", "push"}};
-    ClassMask all = (ClassMask{1} << names.classes.size()) - 1;
-    if (part.classes != 0 && part.classes != all)
-      for (std::size_t c = 0; c < names.classes.size(); ++c)
-        if (part.classes >> c & 1) line["for"].push_back(names.classes[c]);
-    if (part.replace) line["replace"] = true;
-    if (part.replace || !part.rows.empty()) line["rows"] = json::array();
-    for (auto& [uid, weight] : part.rows) line["rows"].push_back(json::array({uid, weight}));
-    if (part.level) line["gate"] = part.level->first, line["again"] = part.level->second;
-    if (!part.drop.empty()) line["drop"] = part.drop;
-    if (!part.undrop.empty()) line["undrop"] = part.undrop;
-    if (k + 1 < parts.size()) line["part"] = true;
-    else if (nonce) line["stamp"] = *nonce;
-    out += line.dump() + "\n";
+  std::string lines;
+  for (std::size_t index = 0; index < parts.size(); ++index) {
+    json object = part_object(parts[index], names);
+    const bool is_last = index + 1 == parts.size();
+    if (!is_last) object["part"] = true;
+    else if (nonce) object["stamp"] = *nonce;
+    lines += object.dump() + "\n";
   }
-  return out;
+  return lines;
 }
 
-double count_lines(const std::vector<Part>& parts, bool has_nonce) {
-  std::size_t lines = has_nonce;
-  for (const Part& p : parts)
-    lines += p.replace + p.rows.size() + p.level.has_value() + p.drop.size() + p.undrop.size();
+double count_lines(const std::vector<UpdatePart>& parts, bool has_nonce) {
+  std::size_t lines = has_nonce ? 1 : 0;
+  for (const UpdatePart& part : parts) {
+    if (part.replaces_table) ++lines;
+    if (part.limit) ++lines;
+    lines += part.weights.size() + part.excluded.size() + part.readmitted.size();
+  }
   return static_cast<double>(lines);
 }
 
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -3,204 +3,242 @@
 #include <csignal>
 #include <deque>
 #include <exception>
+#include <map>
 #include <memory>
 #include <optional>
-#include <stdexcept>
 #include <system_error>
 #include <unordered_map>
+#include <utility>
 
-#include "base/file.h"
 #include "base/time.h"
+#include "health_check/http_outcome.h"
 #include "http/server.h"
 #include "log/log.h"
 #include "net/reactor.h"
 #include "platform/core.h"
-#include "health_check/http_outcome.h"
 
 namespace beamshunt::platform {
 namespace {
 
-// ---- Bounds of the sockets: unit, reason ----
-constexpr Ms kListenWithin = 5000;            // ms, half of what a restarted assigner may take to be ready
-constexpr Ms kListenAgain = 50;               // ms between two looks whether the address is free
-constexpr Ms kConnectMost = 1000;             // ms to discovery, on the same network
-constexpr Ms kListQuiet = 4500;               // ms; a watch's empty lines come every 2 s: two are missing
-constexpr Ms kProbeWithin = 500;              // ms for an endpoint to take a connection, and again to answer
-constexpr std::size_t kMostUnsent = 1048576;  // bytes that a proxy leaves unread before it is given up
-constexpr std::size_t kMostATurn = 65536;     // bytes read from one connection in a turn
-constexpr std::size_t kMostListBytes = 4 * 1048576;  // of one object of discovery
-constexpr std::size_t kMostLeaving = 8;  // closed connections that may still take their time to read why
-
-Configuration read_configuration(const std::string& file) {
-  auto bytes = base::read_file(file);
-  if (!bytes) throw std::runtime_error("configuration " + file + ": there is no such file");
-  try {
-    return parse_configuration(*bytes);
-  } catch (const std::runtime_error& error) {
-    throw std::runtime_error("configuration " + file + ": " + error.what());
-  }
-}
+// ms to get the listening address: half of what a restarted assigner may take to be ready.
+constexpr Ms kListenTimeout = 5000;
+// ms between two attempts to listen: short against the time-out.
+constexpr Ms kListenRetryInterval = 50;
+// ms to connect to discovery or an endpoint: they are on the same network.
+constexpr Ms kConnectTimeout = 1000;
+// ms without a byte of a watch: its empty lines come every 2 s, so two are missing.
+constexpr Ms kDiscoveryIdleTimeout = 4500;
+// ms for an endpoint to accept the connection and answer: a slower one serves no requests in time.
+constexpr Ms kHealthCheckTimeout = 500;
+// Bytes that a peer leaves unread before its connection ends: it would hold memory of all others.
+constexpr std::size_t kMaxUnsentBytes = 1048576;
+// Bytes read from one connection in a turn of the loop: no sender may keep the others waiting.
+constexpr std::size_t kMaxBytesPerTurn = 65536;
+// Bytes of one answer of discovery: more than the complete list of the largest fleet.
+constexpr std::size_t kMaxDiscoveryBytes = 4 * 1048576;
+// Closed connections that may still take their time to read the reason: each holds a descriptor.
+constexpr std::size_t kMaxLingering = 8;
+constexpr int kHttpOk = 200;
 
 class Service {
  public:
-  Service(std::string file, bool verbose)
+  Service(std::string file, bool log_endpoints)
       : file_(std::move(file)),
-        log_("", verbose ? log::Level::debug : log::Level::info),
-        core_(read_configuration(file_), reactor_.now(), base::wall_ms(), verbose),
-        client_(reactor_, {.connect_ms = kConnectMost, .most_idle = 0, .limits = {.body = kMostListBytes}}) {
+        log_("", log_endpoints ? log::Level::debug : log::Level::info),
+        core_(read_configuration(file_), reactor_.now(), base::wall_ms(), log_endpoints),
+        client_(reactor_,
+                {.connect_ms = kConnectTimeout, .most_idle = 0, .limits = {.body = kMaxDiscoveryBytes}}) {
     for (int signal : {SIGTERM, SIGINT}) reactor_.on_signal(signal, [this] { reactor_.stop(); });
     reactor_.on_signal(SIGHUP, [this] { reload(); });
-    listen(reactor_.now() + kListenWithin);
-    soon();
+    listen(reactor_.now() + kListenTimeout);
+    schedule_run();
   }
 
   void run() {
     reactor_.run();
-    if (cannot_listen_) std::rethrow_exception(cannot_listen_);
+    if (listen_error_) std::rethrow_exception(listen_error_);
     log_.write(log::Level::info, "stopped");
   }
 
  private:
-  // The process before this one may still hold the address while it ends: that is no reason to refuse the
-  // start.
-  void listen(Ms until) {
+  // ---- Listening ----
+
+  // The former process may still hold the address while it ends: that is no reason to fail the start.
+  void listen(Ms deadline) {
     try {
       listener_ = std::make_unique<net::Listener>(
-          reactor_, core_.configuration().listen, [this](auto c) { accept(std::move(c)); },
-          net::ConnectionOptions{.most_unsent = kMostUnsent, .most_a_turn = kMostATurn});
+          reactor_, core_.configuration().listen,
+          [this](std::shared_ptr<net::Connection> connection) { accept(std::move(connection)); },
+          net::ConnectionOptions{.most_unsent = kMaxUnsentBytes, .most_a_turn = kMaxBytesPerTurn});
     } catch (const std::system_error& error) {
-      if (error.code() != std::errc::address_in_use || reactor_.now() >= until) {
-        cannot_listen_ = std::current_exception();
-        return reactor_.defer([this] { reactor_.stop(); });
+      if (error.code() != std::errc::address_in_use || reactor_.now() >= deadline) {
+        listen_error_ = std::current_exception();
+        reactor_.defer([this] { reactor_.stop(); });
+        return;
       }
-      if (!std::exchange(waits_for_address_, true))
+      if (!std::exchange(logged_address_in_use_, true))
         log_.write(log::Level::warning, "address_in_use",
                    {{"listen", net::to_string(core_.configuration().listen)}});
-      reactor_.at(reactor_.now() + kListenAgain, [this, until] { listen(until); });
+      reactor_.at(reactor_.now() + kListenRetryInterval, [this, deadline] { listen(deadline); });
       return;
     }
     log_.write(log::Level::info, "serving",
                {{"name", core_.configuration().name}, {"listen", net::to_string(listener_->address())}});
   }
 
-  // ---- The core's turns: once a turn of the loop, after all that came in it ----
-  void soon() {
-    if (std::exchange(turn_due_, true)) return;
-    reactor_.defer([this] { turn(); });
+  void accept(std::shared_ptr<net::Connection> connection) {
+    const ConnectionId id{++last_connection_};
+    connections_[id] = connection;
+    core_.on_connection_opened(id, reactor_.now());
+    connection->start({.connected = {},
+                       .bytes =
+                           [this, id](std::string_view bytes) {
+                             core_.on_bytes(id, bytes, reactor_.now());
+                             schedule_run();
+                           },
+                       .peer_ended = {},
+                       .closed =
+                           [this, id](net::CloseReason reason) {
+                             connections_.erase(id);
+                             core_.on_connection_closed(id, net::reason_name(reason));
+                             schedule_run();
+                           }});
+    make_room();
+    schedule_run();
+  }
+
+  // Hundreds may be accepted in one turn of the loop. Who has to go for the newest goes at once: otherwise
+  // descriptors run out before the turn ends, and the listener rejects whoever comes next, a proxy included.
+  // Nor has the turn read what they sent: a registration that waits in the kernel's buffer is read first.
+  void make_room() {
+    while (auto candidate = core_.eviction_candidate()) {
+      if (auto found = connections_.find(*candidate); found != connections_.end()) {
+        auto connection = found->second;  // reading may close it and drop the table's reference
+        connection->read_now();
+      }
+      core_.evict(*candidate);
+      execute_effects();
+    }
+  }
+
+  // ---- Running the core: once a turn of the loop, after all that came in it ----
+
+  void schedule_run() {
+    if (std::exchange(run_scheduled_, true)) return;
+    reactor_.defer([this] { run_core(); });
   }
-  void turn() {
-    turn_due_ = false;
-    core_.turn(reactor_.now());
-    carry_out_all();
+
+  void run_core() {
+    run_scheduled_ = false;
+    core_.run_once(reactor_.now());
+    execute_effects();
     if (timer_) reactor_.cancel(*timer_);
-    timer_ = reactor_.at(core_.next_due(), [this] { timer_.reset(), soon(); });
+    timer_ = reactor_.at(core_.next_due(), [this] {
+      timer_.reset();
+      schedule_run();
+    });
   }
 
-  void carry_out_all() {
-    for (Effect& effect : core_.take_effects()) std::visit([this](auto& e) { carry_out(e); }, effect);
+  void execute_effects() {
+    for (Effect& effect : core_.take_effects())
+      std::visit([this](auto& concrete) { execute(concrete); }, effect);
   }
 
-  void accept(std::shared_ptr<net::Connection> connection) {
-    ConnectionId id{++last_connection_};
-    connections_[id] = connection;
-    core_.opened(id, reactor_.now());
-    connection->start({{},
-                       [this, id](std::string_view bytes) {
-                         core_.bytes(id, bytes, reactor_.now());
-                         soon();
-                       },
-                       {},
-                       [this, id](net::CloseReason reason) {
-                         connections_.erase(id);
-                         core_.closed(id, net::reason_name(reason), reactor_.now());
-                         soon();
-                       }});
-    // Hundreds may be accepted in one turn of the loop: who has to go for this one goes now, or descriptors
-    // run out before the turn ends and the listener turns away whoever comes next, be it a proxy. Nor has the
-    // turn read what they sent: a joining that waits in the kernel's buffer is no reason to be turned away.
-    while (auto oldest = core_.to_evict()) {
-      if (auto c = connections_.find(*oldest); c != connections_.end()) {
-        auto hold = c->second;
-        hold->read_now();
-      }
-      core_.evict(*oldest);
-      carry_out_all();
+  // ---- Effects ----
+
+  void execute(SendBytes& effect) {
+    auto connection = connections_.find(effect.connection);
+    if (connection != connections_.end()) connection->second->send(std::move(effect.bytes));
+  }
+
+  // Closed with bytes unread, a connection is reset, and its peer may never see the reason. So it lingers, but
+  // not so many at a time that their descriptors are missed.
+  void execute(const CloseConnection& effect) {
+    auto connection = connections_.extract(effect.connection);
+    if (connection.empty()) return;
+    std::erase_if(lingering_, [](const auto& closed) { return closed.expired(); });
+    if (effect.immediately || lingering_.size() >= kMaxLingering) {
+      connection.mapped()->close();
+      return;
     }
-    soon();
+    lingering_.push_back(connection.mapped());
+    connection.mapped()->close_after_sending();
   }
 
-  // ---- Effects ----
-  void carry_out(SendBytes& e) {
-    if (auto c = connections_.find(e.to); c != connections_.end()) c->second->send(std::move(e.bytes));
-  }
-  void carry_out(CloseConnection& e) {
-    auto c = connections_.extract(e.connection);
-    if (c.empty()) return;
-    std::erase_if(leaving_, [](auto& l) { return l.expired(); });
-    // Closed with bytes unread, a connection is reset, and its peer may never see why: it gets a moment, but
-    // not so many at a time that their descriptors are missed.
-    if (e.at_once || leaving_.size() >= kMostLeaving) return c.mapped()->close();
-    leaving_.push_back(c.mapped());
-    c.mapped()->close_after_sending();
-  }
-  void carry_out(OpenWatch& e) {
-    ListWatch::Number number = e.number;
-    watches_[number] = client_.listen(
-        e.discovery, http::request("GET", "/api/targets?watch=1&from=" + std::to_string(e.from)), kListQuiet,
-        [this, number](std::string_view piece) {
-          core_.watch_bytes(number, piece, reactor_.now(), base::wall_ms());
-          soon();
+  void execute(const OpenWatch& effect) {
+    const ListWatch::Id watch = effect.watch;
+    auto request = http::request("GET", "/api/targets?watch=1&from=" + std::to_string(effect.from_version));
+    watches_[watch] = client_.listen(
+        effect.discovery, request, kDiscoveryIdleTimeout,
+        [this, watch](std::string_view bytes) {
+          core_.on_watch_bytes(watch, bytes, reactor_.now(), base::wall_ms());
+          schedule_run();
         },
-        [this, number](http::Client::Answer&& answer) {
-          watches_.erase(number);
-          core_.watch_ended(number, failure(answer), reactor_.now());
-          soon();
+        [this, watch](http::Client::Answer&& answer) {
+          watches_.erase(watch);
+          core_.on_watch_ended(watch, failure_text(answer), reactor_.now());
+          schedule_run();
         });
   }
-  void carry_out(CloseWatch& e) {
-    if (auto watch = watches_.extract(e.number); !watch.empty()) client_.cancel(watch.mapped());
+
+  void execute(const CloseWatch& effect) {
+    auto watch = watches_.extract(effect.watch);
+    if (!watch.empty()) client_.cancel(watch.mapped());
   }
-  void carry_out(FetchTheList& e) {
-    client_.ask(e.discovery, http::request("GET", "/api/targets"), kListQuiet,
+
+  void execute(const FetchEndpointList& effect) {
+    client_.ask(effect.discovery, http::request("GET", "/api/targets"), kDiscoveryIdleTimeout,
                 [this](http::Client::Answer&& answer) {
-                  if (answer.failure == http::Client::Failure::none && answer.message.status == 200)
-                    core_.fetch_answered(answer.message.body, reactor_.now(), base::wall_ms());
-                  else core_.fetch_failed(failure(answer));
-                  soon();
+                  if (answer.failure == http::Client::Failure::none && answer.message.status == kHttpOk)
+                    core_.on_fetched(answer.message.body, reactor_.now(), base::wall_ms());
+                  else core_.on_fetch_failed(failure_text(answer));
+                  schedule_run();
                 });
   }
-  static std::string failure(const http::Client::Answer& answer) {
+
+  static std::string failure_text(const http::Client::Answer& answer) {
     if (answer.failure != http::Client::Failure::none) return answer.detail;
     return "it ended with status " + std::to_string(answer.message.status);
   }
-  void carry_out(AskEndpoint& e) {
-    due_.push_back(e);
-    probe();
-  }
-  void probe() {
-    for (; asked_ < most_probes(core_.configuration().sockets) && !due_.empty(); due_.pop_front()) {
-      ++asked_;
-      Ms begun = reactor_.now();
-      client_.ask(due_.front().address,
-                  http::request("GET", due_.front().for_load ? "/-/load" : "/-/healthy"), kProbeWithin,
-                  [this, begun, e = due_.front()](http::Client::Answer&& answer) {
-                    --asked_;
-                    core_.probe_answered(e.endpoint, e.number, health_check::outcome_of(answer),
-                                         reactor_.now() - begun, answer.message.body);
-                    probe();
-                    soon();
-                  });
+
+  void execute(const StartHealthCheck& effect) {
+    waiting_health_checks_.push_back(effect);
+    start_health_checks();
+  }
+
+  void start_health_checks() {
+    const std::size_t limit = max_concurrent_health_checks(core_.configuration().sockets);
+    while (running_health_checks_ < limit && !waiting_health_checks_.empty()) {
+      ++running_health_checks_;
+      start_health_check(waiting_health_checks_.front());
+      waiting_health_checks_.pop_front();
     }
   }
-  void carry_out(LogLine& e) { log_.write(e.level, e.event, e.fields); }
+
+  void start_health_check(const StartHealthCheck& check) {
+    const Ms started = reactor_.now();
+    auto request = http::request("GET", check.wants_load_report ? "/-/load" : "/-/healthy");
+    client_.ask(check.address, request, kHealthCheckTimeout,
+                [this, started, check](http::Client::Answer&& answer) {
+                  --running_health_checks_;
+                  core_.on_health_check_result(check.endpoint, check.id, health_check::outcome_of(answer),
+                                               reactor_.now() - started, answer.message.body);
+                  start_health_checks();
+                  schedule_run();
+                });
+  }
+
+  void execute(const LogLine& effect) { log_.write(effect.level, effect.event, effect.fields); }
+
+  // ---- SIGHUP ----
 
   void reload() {
     try {
       core_.reconfigure(read_configuration(file_), reactor_.now());
-    } catch (const std::exception& error) {  // what runs goes on as it is
-      log_.write(log::Level::error, "configuration_refused", {{"reason", error.what()}});
+    } catch (const std::exception& error) {  // the present configuration stays in force
+      log_.write(log::Level::error, "configuration_rejected", {{"reason", error.what()}});
     }
-    soon();
+    schedule_run();
   }
 
   std::string file_;
@@ -209,22 +247,24 @@
   Core core_;
   http::Client client_;
   std::unique_ptr<net::Listener> listener_;
-  std::exception_ptr cannot_listen_;
+  std::exception_ptr listen_error_;  // that ended the start
   std::unordered_map<ConnectionId, std::shared_ptr<net::Connection>> connections_;
-  std::deque<std::weak_ptr<net::Connection>> leaving_;
-  std::map<ListWatch::Number, http::Client::Call> watches_;
-  std::deque<AskEndpoint> due_;  // one an endpoint at most: the core asks none that it waits for
-  std::size_t asked_ = 0;
+  std::deque<std::weak_ptr<net::Connection>> lingering_;
+  std::map<ListWatch::Id, http::Client::Call> watches_;
+  std::deque<StartHealthCheck> waiting_health_checks_;
+  std::size_t running_health_checks_ = 0;
   std::uint64_t last_connection_ = 0;
-  bool turn_due_ = false, waits_for_address_ = false;
+  bool run_scheduled_ = false;
+  bool logged_address_in_use_ = false;
   std::optional<net::Reactor::TimerId> timer_;
 };
 
 }  // namespace
 
-void serve(const std::string& file, bool verbose) {
-  net::Reactor::block_signals({SIGTERM, SIGINT, SIGHUP});  // before the log's thread
-  Service(file, verbose).run();
+void serve(const std::string& file, bool log_endpoints) {
+  // Before the log's thread starts: a thread that does not block a signal would end the process by it.
+  net::Reactor::block_signals({SIGTERM, SIGINT, SIGHUP});
+  Service(file, log_endpoints).run();
 }
 
 }  // namespace beamshunt::platform
--- a/tests/platform/core_test.cpp
+++ b/tests/platform/core_test.cpp
@@ -12,9 +12,9 @@
 TEST(PlatformCore, AJoinedProxyIsGivenItsTablesInOneMarkedMessage) {
   Rig rig;
   ASSERT_EQ(rig.got<OpenWatch>().size(), 1u);
-  EXPECT_EQ(rig.got<OpenWatch>()[0].from, 5u) << "the watch goes on from the list known at the start";
+  EXPECT_EQ(rig.got<OpenWatch>()[0].from_version, 5u) << "the watch goes on from the list known at the start";
   ConnectionId p = rig.join(3);
-  rig.turn();
+  rig.run_once();
   auto tables = rig.tables(p);
   EXPECT_EQ(tables["look"].size(), 4u) << "one proxy's load goes to all that are listed";
   EXPECT_EQ(tables["buy"].size(), 2u) << "and where it must stay at home, to those there";
@@ -40,7 +40,7 @@
 TEST(PlatformCore, WhatItWritesIsWhatTheModuleCounts) {
   Rig rig;
   ConnectionId p = rig.join(0);
-  rig.turn();
+  rig.run_once();
   // Two tables that are replaced, four and two lines, a level each, and the mark.
   std::size_t lines = 0;
   for (const json& m : rig.messages(p))
@@ -101,7 +101,7 @@
   Rig rig;
   for (ConnectionId id : {rig.open(), rig.collector(), rig.join(0)}) {
     rig.say(id, {{"t", "probe"}});
-    rig.turn();
+    rig.run_once();
     bool alive = false;
     for (const json& m : rig.messages(id)) alive |= m["t"] == "alive";
     EXPECT_TRUE(alive);
@@ -128,10 +128,10 @@
   rig.live(300, {p});
   EXPECT_FALSE(rig.is_closed(p));
   EXPECT_FALSE(rig.is_closed(c));
-  EXPECT_EQ(rig.core.counters().spoilt, 60u);
+  EXPECT_EQ(rig.core.counters().malformed, 60u);
   EXPECT_EQ(rig.core.counters().reports, 40u);
   for (int k = 0; k < 4; ++k) rig.say(c, {{"t", "odd"}});
-  rig.turn();
+  rig.run_once();
   EXPECT_TRUE(rig.is_closed(c));
 }
 
@@ -141,7 +141,7 @@
   rig.live(300, {p});
   rig.bytes(p, "\x01\x02garbage");
   EXPECT_EQ(rig.core.proxies(), 0u);
-  rig.turn();
+  rig.run_once();
   EXPECT_TRUE(rig.is_closed(p));
 }
 
@@ -150,11 +150,12 @@
   ConnectionId first = rig.join(0);
   rig.live(300, {first});
   ConnectionId second = rig.join(0, "south");
-  rig.turn();
+  rig.run_once();
   EXPECT_TRUE(rig.is_closed(first));
   EXPECT_EQ(rig.core.proxies(), 1u);
   EXPECT_TRUE(rig.tables(second)["buy"].contains("s-c"));
-  rig.core.closed(first, "reset", rig.now);  // the shell tells late: that is no leaving of the new stream
+  rig.core.on_connection_closed(first,
+                                "reset");  // the shell tells late: that is no leaving of the new stream
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
 
@@ -196,7 +197,7 @@
 TEST(PlatformCore, AMarkWhoseAnswerWasSpoiltLeavesTheAccountAndItsStreamStays) {
   Rig rig;
   ConnectionId good = rig.join(0), spoilt = rig.join(1);
-  rig.turn();
+  rig.run_once();
   rig.live(300, {good});
   rig.bytes(spoilt, R"({"t":"ack","node":1,"nonce":"x","latency":1})"
                     "\n");
@@ -206,7 +207,7 @@
   stir(rig, 7);
   rig.live(2500, {good, spoilt});
   EXPECT_FALSE(rig.is_closed(spoilt));
-  EXPECT_EQ(rig.core.counters().silent, 0u);
+  EXPECT_EQ(rig.core.counters().unresponsive, 0u);
 }
 
 TEST(PlatformCore, StrangersNeverTakeTheDescriptorsOfProxies) {
@@ -215,7 +216,7 @@
   for (int k = 0; k < 40; ++k) proxies.push_back(rig.join(k));
   std::vector<ConnectionId> strangers;
   for (int k = 0; k < 1000; ++k) strangers.push_back(rig.open());
-  rig.turn();
+  rig.run_once();
   EXPECT_LE(rig.core.connections(), 80u);
   EXPECT_TRUE(rig.is_closed(strangers.front())) << "the oldest goes first";
   EXPECT_FALSE(rig.is_closed(strangers.back()));
@@ -229,7 +230,7 @@
   ConnectionId elsewhere = rig.collector("south");
   std::vector<ConnectionId> all;
   for (int k = 0; k < 300; ++k) all.push_back(rig.collector("north"));
-  rig.turn();
+  rig.run_once();
   EXPECT_LE(rig.core.connections(), 5u);
   EXPECT_TRUE(rig.is_closed(all.front()));
   EXPECT_FALSE(rig.is_closed(all.back()));
@@ -253,7 +254,7 @@
   Rig rig;
   rig.live(20000);
   EXPECT_EQ(rig.got<OpenWatch>().size(), 1u);
-  rig.core.watch_ended(rig.newest_watch(), "gone", rig.now);
+  rig.core.on_watch_ended(rig.newest_watch(), "gone", rig.now);
   rig.live(3000);
   EXPECT_EQ(rig.got<OpenWatch>().size(), 2u);
 }
@@ -265,7 +266,7 @@
   json next = configuration();
   next["discovery"] = "127.0.0.1:2", next["seed"] = "77";
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
-  rig.turn();
+  rig.run_once();
   ASSERT_EQ(rig.got<OpenWatch>().size(), 2u);
   EXPECT_EQ(rig.got<OpenWatch>()[1].discovery.port, 2);
   EXPECT_FALSE(rig.is_closed(p));
@@ -285,10 +286,10 @@
   std::set<int> stamps;
   for (const json& m : rig.messages(p))
     EXPECT_TRUE(!m.contains("stamp") || stamps.insert(m["stamp"].get<int>()).second) << "a mark twice";
-  EXPECT_EQ(rig.core.counters().spoilt, 0u);
+  EXPECT_EQ(rig.core.counters().malformed, 0u);
   next["settings"]["azs"] = {"north", "south", "west"};  // what a joining meant may be no more
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
-  rig.turn();
+  rig.run_once();
   EXPECT_TRUE(rig.is_closed(p));
   EXPECT_NE(rig.error(p).find("settings have changed"), std::string::npos);
 }
@@ -304,24 +305,24 @@
   json next = configuration();
   next["discovery"] = "127.0.0.1:2";
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
-  rig.turn();
+  rig.run_once();
   auto newer = rig.newest_watch();
   ASSERT_NE(former, newer);
-  rig.core.watch_bytes(newer, "\n", rig.now, rig.now);           // an empty line is no list
-  rig.core.watch_bytes(newer, "no object\n", rig.now, rig.now);  // nor is this
+  rig.core.on_watch_bytes(newer, "\n", rig.now, rig.now);           // an empty line is no list
+  rig.core.on_watch_bytes(newer, "no object\n", rig.now, rig.now);  // nor is this
   rig.tell(former, list(6, false, {target("s-a", "north", "terminating")}));
-  rig.turn();
+  rig.run_once();
   EXPECT_FALSE(rig.tables(p)["look"].contains("s-a")) << "the former watch was the only one to tell";
   EXPECT_TRUE(rig.got<CloseWatch>().empty());
   rig.tell(newer, list(7, false, {target("s-b", "north", "terminating")}));
-  rig.turn();
+  rig.run_once();
   ASSERT_EQ(rig.got<CloseWatch>().size(), 1u);
-  EXPECT_EQ(rig.got<CloseWatch>()[0].number, former);
+  EXPECT_EQ(rig.got<CloseWatch>()[0].watch, former);
   rig.tell(former, list(8, true, {target("s-a", "north"), target("s-b", "north")}));  // its last bytes, late
-  rig.core.watch_ended(former, "reset", rig.now);
-  rig.turn();
+  rig.core.on_watch_ended(former, "reset", rig.now);
+  rig.run_once();
   EXPECT_FALSE(rig.tables(p)["look"].contains("s-b"));
-  EXPECT_EQ(rig.count_logged("list_lost"), 0u);
+  EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 0u);
 }
 
 TEST(PlatformCore, ANewWatchThatFailsIsOpenedAgainWhileTheFormerOneStillTells) {
@@ -331,21 +332,21 @@
   json next = configuration();
   next["discovery"] = "127.0.0.1:2";
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
-  rig.turn();
+  rig.run_once();
   for (int k = 0; k < 4; ++k) {
     auto tried = rig.newest_watch();
-    rig.core.watch_ended(tried, "refused", rig.now);
+    rig.core.on_watch_ended(tried, "refused", rig.now);
     rig.live(2100);  // before what it has to tell counts as told, whether heard or not
     EXPECT_GT(rig.newest_watch(), tried);
     EXPECT_EQ(rig.got<OpenWatch>().back().discovery.port, 2);
   }
-  EXPECT_EQ(rig.count_logged("list_lost"), 0u) << "the former one lives";
-  rig.core.watch_ended(former, "closed after the move", rig.now);
-  rig.turn();
-  EXPECT_EQ(rig.count_logged("list_lost"), 0u) << "the newer one is on its way";
-  rig.core.watch_ended(rig.newest_watch(), "refused", rig.now);
-  rig.turn();
-  EXPECT_EQ(rig.count_logged("list_lost"), 1u);
+  EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 0u) << "the former one lives";
+  rig.core.on_watch_ended(former, "closed after the move", rig.now);
+  rig.run_once();
+  EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 0u) << "the newer one is on its way";
+  rig.core.on_watch_ended(rig.newest_watch(), "refused", rig.now);
+  rig.run_once();
+  EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 1u);
 }
 
 TEST(PlatformCore, MovesThereAndBackLeaveOneWatchAtTheLastAddress) {
@@ -355,12 +356,12 @@
     json next = configuration();
     next["discovery"] = "127.0.0.1:" + std::to_string(port);
     rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
-    rig.turn();
+    rig.run_once();
   }
   EXPECT_EQ(rig.got<CloseWatch>().size(), 3u) << "each that had not told, as the next move came";
   EXPECT_EQ(rig.got<OpenWatch>().back().discovery.port, 1);
   rig.tell(list(7, false, {}));
-  rig.turn();
+  rig.run_once();
   EXPECT_EQ(rig.got<CloseWatch>().size(), 4u);
 }
 
@@ -370,34 +371,34 @@
   rig.live(500, {p});
   std::string object = list(6, false, {target("s-a", "north", "terminating")}).dump() + "\n";
   auto first = rig.newest_watch();
-  rig.core.watch_bytes(first, object.substr(0, object.size() / 2), rig.now, rig.now);
-  rig.core.watch_ended(first, "no answer in time", rig.now);
+  rig.core.on_watch_bytes(first, object.substr(0, object.size() / 2), rig.now, rig.now);
+  rig.core.on_watch_ended(first, "no answer in time", rig.now);
   rig.live(3000, {p});
   ASSERT_GT(rig.newest_watch(), first);
-  EXPECT_EQ(rig.got<OpenWatch>().back().from, 5u);
-  rig.core.watch_bytes(first, object.substr(object.size() / 2), rig.now, rig.now);  // late, and of nobody
-  rig.turn();
+  EXPECT_EQ(rig.got<OpenWatch>().back().from_version, 5u);
+  rig.core.on_watch_bytes(first, object.substr(object.size() / 2), rig.now, rig.now);  // late, and of nobody
+  rig.run_once();
   EXPECT_TRUE(rig.tables(p)["look"].contains("s-a"));
-  rig.core.watch_bytes(rig.newest_watch(), object, rig.now, rig.now);
-  rig.turn();
+  rig.core.on_watch_bytes(rig.newest_watch(), object, rig.now, rig.now);
+  rig.run_once();
   EXPECT_FALSE(rig.tables(p)["look"].contains("s-a"));
 }
 
 TEST(PlatformCore, AFetchThatFailsWhileAWatchTellsLosesNoList) {
   Rig rig;
-  rig.core.fetch_failed("it ended with status 503");
-  rig.turn();
-  EXPECT_EQ(rig.count_logged("list_lost"), 0u);
-  rig.core.watch_ended(rig.newest_watch(), "reset", rig.now);
-  rig.core.fetch_failed("it ended with status 503");
-  rig.turn();
-  EXPECT_EQ(rig.count_logged("list_lost"), 2u);
+  rig.core.on_fetch_failed("it ended with status 503");
+  rig.run_once();
+  EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 0u);
+  rig.core.on_watch_ended(rig.newest_watch(), "reset", rig.now);
+  rig.core.on_fetch_failed("it ended with status 503");
+  rig.run_once();
+  EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 2u);
 }
 
 TEST(PlatformCore, LateAnswersToSettledMarksAreNoFaultOfTheStream) {
   Rig rig;
   ConnectionId p = rig.join(0), other = rig.join(1);
-  rig.turn();
+  rig.run_once();
   std::vector<json> acks;
   auto hold_back = [&] {
     for (const json& m : rig.messages(p))
@@ -413,12 +414,12 @@
   rig.live(3000, {other});
   hold_back();
   ASSERT_GE(acks.size(), 5u);
-  ASSERT_GT(rig.core.counters().unacked_nonces, 4u);
+  ASSERT_GT(rig.core.counters().unacknowledged, 4u);
   for (const json& ack : acks) rig.say(p, ack);  // all at once, after their wait was over
   rig.live(300, {other});
   EXPECT_FALSE(rig.is_closed(p)) << "a stream that this side ends does not count as left";
-  EXPECT_EQ(rig.core.counters().spoilt, 0u);
-  EXPECT_GT(rig.core.counters().late, 4u);
+  EXPECT_EQ(rig.core.counters().malformed, 0u);
+  EXPECT_GT(rig.core.counters().late_acks, 4u);
 }
 
 TEST(PlatformCore, AnswersToAFormerModulesMarksAreNoFaultAndFreeItsLines) {
@@ -434,7 +435,7 @@
   }
   rig.live(1000, all);
   for (ConnectionId p : all) EXPECT_FALSE(rig.is_closed(p));
-  EXPECT_EQ(rig.core.counters().spoilt, 0u);
+  EXPECT_EQ(rig.core.counters().malformed, 0u);
 }
 
 TEST(PlatformCore, AFreshModuleKeepsTheMessagesAllowedToAProxyTogetherWithTheFormerOne) {
@@ -468,8 +469,8 @@
   next["settings"]["azs"] = {"south"};  // one of two, with another number
   next["settings"]["locality"] = "south";
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
-  rig.turn();
-  EXPECT_EQ(rig.got<OpenWatch>().back().from, 0u)
+  rig.run_once();
+  EXPECT_EQ(rig.got<OpenWatch>().back().from_version, 0u)
       << "the list may hold others that were of no locality before";
   ConnectionId p = rig.join(1, "south");
   rig.live(500, {p});
@@ -481,21 +482,22 @@
 TEST(PlatformCore, AnAnswerToAFormerModulesProbeIsNotThePresentOnes) {
   Rig rig;
   rig.live(1100);
-  auto asked = rig.got<AskEndpoint>();
+  auto asked = rig.got<StartHealthCheck>();
   ASSERT_FALSE(asked.empty());
   rig.live(5000);
   std::map<EndpointId, int> times;
-  for (auto& ask : rig.got<AskEndpoint>()) ++times[ask.endpoint];
+  for (auto& check : rig.got<StartHealthCheck>()) ++times[check.endpoint];
   for (auto& [endpoint, n] : times) EXPECT_EQ(n, 1) << "not again while it has not answered";
   json next = configuration();
   next["settings"]["guarantees"]["warm_up"] = 9000.0;
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
   rig.live(1100);
-  EXPECT_EQ(rig.got<AskEndpoint>().size(), 2 * asked.size()) << "the fresh module asks for itself";
-  std::size_t before = rig.got<AskEndpoint>().size();
-  for (auto& ask : asked) rig.core.probe_answered(ask.endpoint, ask.number, AttemptOutcome::success, 3, "");
+  EXPECT_EQ(rig.got<StartHealthCheck>().size(), 2 * asked.size()) << "the fresh module asks for itself";
+  std::size_t before = rig.got<StartHealthCheck>().size();
+  for (auto& check : asked)
+    rig.core.on_health_check_result(check.endpoint, check.id, AttemptOutcome::success, 3, "");
   rig.live(1100);
-  EXPECT_EQ(rig.got<AskEndpoint>().size(), before) << "its own probes are still out";
+  EXPECT_EQ(rig.got<StartHealthCheck>().size(), before) << "its own probes are still out";
 }
 
 TEST(PlatformCore, WhoIsAskedToMakeRoomAndHasJoinedMeanwhileStays) {
@@ -504,16 +506,16 @@
   ConnectionId proxy{};
   for (std::uint64_t k = 1; k <= 200; ++k) {
     ConnectionId id{1000 + k};
-    rig.core.opened(id, rig.now);
+    rig.core.on_connection_opened(id, rig.now);
     if (k == 1) proxy = id;
-    while (auto oldest = rig.core.to_evict()) {
+    while (auto oldest = rig.core.eviction_candidate()) {
       // The shell reads it a last time, and there the joining is.
       if (*oldest == proxy)
         rig.say(proxy, {{"t", "hello"}, {"node", 3}, {"locality", "north"}, {"w", 20.0}, {"cold", true}});
       rig.core.evict(*oldest);
     }
   }
-  rig.turn();
+  rig.run_once();
   EXPECT_FALSE(rig.is_closed(proxy));
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
@@ -525,19 +527,19 @@
   std::vector<ConnectionId> all;
   for (int k = 0; k < 100; ++k) {
     all.push_back(ConnectionId{1000 + static_cast<std::uint64_t>(k)});
-    rig.core.opened(all.back(), rig.now);
+    rig.core.on_connection_opened(all.back(), rig.now);
     rig.say(all.back(), {{"t", "hello"}, {"node", k}, {"locality", "north"}, {"w", 2.0}, {"cold", true}});
   }
-  rig.turn();
+  rig.run_once();
   EXPECT_EQ(rig.core.connections(), 80u) << "48 descriptors are for the list, the probes and all else";
   for (std::size_t k = 0; k < all.size(); ++k) EXPECT_EQ(rig.is_closed(all[k]), k >= 80) << k;
   EXPECT_NE(rig.error(all.back()).find("no more who join"), std::string::npos);
   rig.join(5);  // a new stream of one that is there takes its place
-  rig.turn();
+  rig.run_once();
   EXPECT_EQ(rig.core.proxies(), 80u);
-  rig.core.closed(all[7], "reset", rig.now);
+  rig.core.on_connection_closed(all[7], "reset");
   rig.join(90);
-  rig.turn();
+  rig.run_once();
   EXPECT_EQ(rig.core.proxies(), 80u);
 }
 
@@ -545,7 +547,7 @@
   Rig rig;
   ConnectionId lively = rig.join(0), quiet = rig.join(1), silent = rig.join(2);
   rig.live(40000, {lively, quiet, silent});
-  std::uint64_t before = rig.core.counters().checks;
+  std::uint64_t before = rig.core.counters().liveness_checks;
   for (int k = 0; k < 60; ++k) {
     rig.live(500, {lively, quiet});  // quiet: no requests come to it, but it lives
     rig.say(lively,
@@ -554,7 +556,7 @@
   EXPECT_TRUE(rig.is_closed(silent));
   EXPECT_FALSE(rig.is_closed(quiet));
   EXPECT_FALSE(rig.is_closed(lively));
-  EXPECT_LE(rig.core.counters().checks - before, 10u) << "one a stream in ten seconds";
+  EXPECT_LE(rig.core.counters().liveness_checks - before, 10u) << "one a stream in ten seconds";
 }
 
 TEST(PlatformCore, AStreamThatWasJudgedSilentAndItsSuccessorInOneTurn) {
@@ -564,10 +566,10 @@
   rig.live(3000, {alive, successor});
   EXPECT_TRUE(rig.is_closed(silent));
   EXPECT_FALSE(rig.is_closed(successor));
-  rig.answer(silent);                         // its last bytes
-  rig.core.closed(silent, "reset", rig.now);  // and its end, both late
+  rig.answer(silent);                              // its last bytes
+  rig.core.on_connection_closed(silent, "reset");  // and its end, both late
   EXPECT_EQ(rig.core.proxies(), 2u);
-  EXPECT_EQ(rig.core.counters().spoilt, 0u);
+  EXPECT_EQ(rig.core.counters().malformed, 0u);
 }
 
 TEST(PlatformCore, AJoiningInTwoPiecesAcrossTheLimitIsTakenOrRefusedAsAWhole) {
@@ -580,7 +582,7 @@
     // More comes in the same read: of a connection that was refused, nobody takes it.
     rig.bytes(id, hello.substr(20) + "\n" +
                       R"({"t":"demand","node":1,"route":"buy","total":4,"errors":0,"interval":500})" + "\n");
-    rig.turn();
+    rig.run_once();
     EXPECT_EQ(rig.core.proxies(), after ? 0u : 1u);
     EXPECT_EQ(rig.core.counters().reports, after ? 0u : 1u);
     EXPECT_EQ(rig.is_closed(id), after);
@@ -603,7 +605,7 @@
   for (int round = 0; round < 400; ++round) {
     ConnectionId id = rig.open();
     for (int k = 0; k < 6; ++k) rig.bytes(id, kinds[draw(std::size(kinds))] + (draw(2) ? "\n" : ""));
-    if (draw(2)) rig.core.closed(id, "reset", rig.now);
+    if (draw(2)) rig.core.on_connection_closed(id, "reset");
     rig.live(50, {good});
   }
   rig.live(5000, {good});
--- a/tests/platform/message_test.cpp
+++ b/tests/platform/message_test.cpp
@@ -1,4 +1,4 @@
-// The platform's lines: what is taken, what is refused and how far the refusal goes.
+// The platform's lines: what is taken, what is refused and how far the rejection goes.
 #include "platform/message.h"
 
 #include <gtest/gtest.h>
@@ -11,39 +11,39 @@
 namespace {
 
 const settings::Names kNames{{"north", "south"}, {"look", "buy"}};
-using Scope = Unusable::Scope;
+using Scope = ProtocolError::Scope;
 
-std::optional<Scope> refusal(const std::string& line) {
+std::optional<Scope> rejection(const std::string& line) {
   try {
     parse_message(line, kNames, 40);
     return std::nullopt;
-  } catch (const Unusable& fault) {
-    EXPECT_STRNE(fault.what(), "");
-    return fault.scope;
+  } catch (const ProtocolError& error) {
+    EXPECT_STRNE(error.what(), "");
+    return error.scope;
   }
 }
 
 TEST(Message, SoundOnesAreRead) {
-  auto hello = std::get<ProxyRegistration>(
+  auto registration = std::get<ProxyRegistration>(
       parse_message(R"({"t":"hello","node":17,"locality":"south","w":21.5,"cold":true})", kNames, 40));
-  EXPECT_EQ(hello.proxy, ProxyId{17});
-  EXPECT_EQ(hello.locality, Locality{1});
-  EXPECT_EQ(hello.usual_rate, 21.5);
-  EXPECT_TRUE(hello.only_standing);
-  auto heard = std::get<EndpointReportMessage>(
+  EXPECT_EQ(registration.proxy, ProxyId{17});
+  EXPECT_EQ(registration.locality, Locality{1});
+  EXPECT_EQ(registration.expected_rate, 21.5);
+  EXPECT_TRUE(registration.only_static_tables);
+  auto report = std::get<EndpointReportMessage>(
       parse_message(R"({"t":"outcomes","locality":"north","endpoint":"s-a","total":9,"errors":2,"rtt":41.7,)"
                     R"("interval":1000,"metrics":{"inflight":7,"util":0.61,"odd":1}})",
                     kNames, 40));
-  EXPECT_EQ(heard.uid, "s-a");
-  EXPECT_EQ(heard.tries, 9);
-  EXPECT_EQ(heard.load, (LoadReport{{"outstanding", 7}, {"utilization", 0.61}}));
-  auto used = std::get<DemandReportMessage>(parse_message(
+  EXPECT_EQ(report.uid, "s-a");
+  EXPECT_EQ(report.attempts, 9);
+  EXPECT_EQ(report.load, (LoadReport{{"outstanding", 7}, {"utilization", 0.61}}));
+  auto demand = std::get<DemandReportMessage>(parse_message(
       R"({"t":"demand","node":3,"route":"buy","total":4,"errors":0,"interval":500.5})", kNames, 40));
-  EXPECT_EQ(used.request_class, ClassId{1});
+  EXPECT_EQ(demand.request_class, ClassId{1});
   auto ack = std::get<Ack>(parse_message(R"({"t":"ack","node":3,"nonce":905,"latency":310.4})", kNames, 40));
   EXPECT_EQ(ack.nonce, 905u);
   // Tries that all failed have no mean time.
-  EXPECT_FALSE(refusal(
+  EXPECT_FALSE(rejection(
       R"({"t":"outcomes","locality":"north","endpoint":"s-a","total":2,"errors":2,"interval":1000})"));
 }
 
@@ -62,27 +62,27 @@
        {"interval", 500.0}},
   };
   for (const json& message : sound) {
-    ASSERT_FALSE(refusal(message.dump())) << message;
+    ASSERT_FALSE(rejection(message.dump())) << message;
     for (auto& [name, value] : message.items()) {
       json spoilt = message;
       spoilt.erase(name);
-      EXPECT_EQ(refusal(spoilt.dump()), Scope::message) << spoilt;
+      EXPECT_EQ(rejection(spoilt.dump()), Scope::message) << spoilt;
       for (const json& wrong : {json(nullptr), json("zz"), json(json::array()), json(-1), json(1e300)}) {
         if (name == "endpoint" && wrong.is_string()) continue;  // the directory knows
         spoilt[name] = wrong;
-        EXPECT_EQ(refusal(spoilt.dump()), Scope::message) << spoilt;
+        EXPECT_EQ(rejection(spoilt.dump()), Scope::message) << spoilt;
       }
     }
   }
   // Of requests some come in one interval and fail in the next; a try ends in the interval that counts it.
-  EXPECT_FALSE(refusal(R"({"t":"demand","node":1,"route":"buy","total":1,"errors":2,"interval":500})"));
-  EXPECT_EQ(refusal(R"({"t":"outcomes","locality":"north","endpoint":"s","total":1,"errors":2,"rtt":1,)"
-                    R"("interval":500})"),
+  EXPECT_FALSE(rejection(R"({"t":"demand","node":1,"route":"buy","total":1,"errors":2,"interval":500})"));
+  EXPECT_EQ(rejection(R"({"t":"outcomes","locality":"north","endpoint":"s","total":1,"errors":2,"rtt":1,)"
+                      R"("interval":500})"),
             Scope::message);
-  EXPECT_EQ(refusal(R"({"t":"ack","node":1,"nonce":5,"latency":1e999})"), Scope::message);
-  EXPECT_EQ(refusal(R"({"t":"push","rows":[]})"), Scope::message);
-  EXPECT_EQ(refusal("[1]"), Scope::connection);
-  EXPECT_EQ(refusal("{\"t\":"), Scope::connection);
+  EXPECT_EQ(rejection(R"({"t":"ack","node":1,"nonce":5,"latency":1e999})"), Scope::message);
+  EXPECT_EQ(rejection(R"({"t":"push","rows":[]})"), Scope::message);
+  EXPECT_EQ(rejection("[1]"), Scope::connection);
+  EXPECT_EQ(rejection("{\"t\":"), Scope::connection);
 }
 
 TEST(LineReader, HandsOutTheSameLinesInPiecesOfAnySize) {
@@ -109,35 +109,35 @@
 TEST(LineReader, RefusesAsSoonAsNoMessageCanCome) {
   LineReader http(100);
   http.push("G");
-  EXPECT_THROW(http.next(), Unusable);
+  EXPECT_THROW(http.next(), ProtocolError);
   LineReader zeros(100);
   zeros.push(std::string(1, '\0'));
-  EXPECT_THROW(zeros.next(), Unusable);
+  EXPECT_THROW(zeros.next(), ProtocolError);
   LineReader endless(100);
   endless.push("{" + std::string(100, ' '));
-  EXPECT_THROW(endless.next(), Unusable);
+  EXPECT_THROW(endless.next(), ProtocolError);
   LineReader fits(100);
   fits.push("{" + std::string(98, ' ') + "}\n");
   EXPECT_TRUE(fits.next());
 }
 
 TEST(LoadReport, IsReadByTheModulesNamesAndWhatIsUnusableIsLeftOut) {
-  EXPECT_EQ(parse_load("TEXT inflight=7, queue=2, util=0.61\n"),
+  EXPECT_EQ(parse_load_report("TEXT inflight=7, queue=2, util=0.61\n"),
             (LoadReport{{"outstanding", 7}, {"backlog", 2}, {"utilization", 0.61}}));
   // Tasks were seen to report by the names of the settings' columns: not one of their reports was read.
-  EXPECT_EQ(parse_load("TEXT utilization=0.25, backlog=3"),
+  EXPECT_EQ(parse_load_report("TEXT utilization=0.25, backlog=3"),
             (LoadReport{{"backlog", 3}, {"utilization", 0.25}}));
-  EXPECT_EQ(parse_load("TEXT util=-1, queue=x, odd=3, =4, inflight=1e99, eps=2"),
+  EXPECT_EQ(parse_load_report("TEXT util=-1, queue=x, odd=3, =4, inflight=1e99, eps=2"),
             (LoadReport{{"errors_per_s", 2}}));
-  EXPECT_TRUE(parse_load("util=0.5").empty());
+  EXPECT_TRUE(parse_load_report("util=0.5").empty());
 }
 
 TEST(Push, PartsOfOneMessageCarryOneMarkInTheLast) {
-  std::vector<Part> parts(2);
-  parts[0] = {.classes = 1, .replace = true, .rows = {{"s-a", 1.5}}};
-  parts[1] = {.classes = 3, .level = {{4.0, 1}}};
+  std::vector<UpdatePart> parts(2);
+  parts[0] = {.classes = 1, .replaces_table = true, .weights = {{"s-a", 1.5}}};
+  parts[1] = {.classes = 3, .limit = PartLimit{4.0, RetryMode::if_not_processed}};
   EXPECT_EQ(count_lines(parts, true), 4);
-  std::string lines = push_lines(parts, 905, kNames);
+  std::string lines = update_lines(parts, 905, kNames);
   std::size_t end = lines.find('\n');
   EXPECT_EQ(nlohmann::json::parse(lines.substr(0, end)),
             nlohmann::json::parse(
--- a/tests/platform/rig.h
+++ b/tests/platform/rig.h
@@ -73,21 +73,23 @@
 
 class Rig {
  public:
-  explicit Rig(const json& c = configuration()) : core(parse_configuration(c.dump()), now, now) { turn(); }
+  explicit Rig(const json& c = configuration()) : core(parse_configuration(c.dump()), now, now) {
+    run_once();
+  }
 
   ConnectionId open() {
     ConnectionId id{++last_};
-    core.opened(id, now);
-    while (auto oldest = core.to_evict()) core.evict(*oldest);
+    core.on_connection_opened(id, now);
+    while (auto oldest = core.eviction_candidate()) core.evict(*oldest);
     return id;
   }
   // What discovery tells on a watch: the newest one, or that of a number.
-  ListWatch::Number newest_watch() const { return got<OpenWatch>().back().number; }
+  ListWatch::Id newest_watch() const { return got<OpenWatch>().back().watch; }
   void tell(const json& object) { tell(newest_watch(), object); }
-  void tell(ListWatch::Number number, const json& object) {
-    core.watch_bytes(number, object.dump() + "\n", now, now);
+  void tell(ListWatch::Id watch, const json& object) {
+    core.on_watch_bytes(watch, object.dump() + "\n", now, now);
   }
-  void bytes(ConnectionId id, const std::string& bytes) { core.bytes(id, bytes, now); }
+  void bytes(ConnectionId id, const std::string& bytes) { core.on_bytes(id, bytes, now); }
   void say(ConnectionId id, const json& message) { bytes(id, message.dump() + "\n"); }
   ConnectionId join(int node, const std::string& locality = "north") {
     ConnectionId id = open();
@@ -100,11 +102,11 @@
     say(id, {{"t", "agent"}, {"locality", locality}});
     return id;
   }
-  void turn() {
+  void run_once() {
     do {
-      core.turn(now);
+      core.run_once(now);
       for (Effect& effect : core.take_effects()) {
-        if (auto* s = std::get_if<SendBytes>(&effect)) sent[s->to] += *s->bytes;
+        if (auto* s = std::get_if<SendBytes>(&effect)) sent[s->connection] += *s->bytes;
         else if (auto* c = std::get_if<CloseConnection>(&effect)) closed.insert(c->connection);
         else if (auto* l = std::get_if<LogLine>(&effect)) logged.push_back(*l);
         else others.push_back(effect);
@@ -114,10 +116,10 @@
   // Time passes; those `answering` say that they have applied what they were sent.
   void live(Ms span, const std::vector<ConnectionId>& answering = {}) {
     for (Ms until = now + span; now < until; now += 50) {
-      turn();
+      run_once();
       for (ConnectionId id : answering) answer(id);
     }
-    turn();
+    run_once();
   }
   void answer(ConnectionId id) {
     for (const json& m : messages(id))
--- a/tests/platform/service_test.cpp
+++ b/tests/platform/service_test.cpp
@@ -192,7 +192,7 @@
   write_configuration("{\"name\":");
   child->signal(SIGHUP);
   until("a refusal in the log", [&] {
-    return base::read_file(folder_ + ".log").value_or("").find("configuration_refused") != std::string::npos;
+    return base::read_file(folder_ + ".log").value_or("").find("configuration_rejected") != std::string::npos;
   });
   other.tell(list(6, false, {target("s-b", "north", "terminating")}));
   until("a drain by the new address", [&] { return !proxy->holds("s-b"); });
