--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -62,8 +62,6 @@
 
 // ---- Connections ----
 
-void Core::on_connection_opened(ConnectionId id, Ms now) { sessions_.add(id, now); }
-
 void Core::on_bytes(ConnectionId id, std::string_view bytes, Ms now) {
   Session* session = sessions_.find(id);
   if (session == nullptr) return;
@@ -94,8 +92,6 @@
   }
 }
 
-void Core::on_connection_closed(ConnectionId id, const std::string& reason) { end_session(id, reason); }
-
 void Core::evict(ConnectionId id) {
   const Session* session = sessions_.find(id);
   if (session == nullptr || session->is_registered()) return;  // what came last was a registration
@@ -203,27 +199,6 @@
                                             report.failed, Duration(report.interval)});
 }
 
-// ---- Endpoint list and health checks ----
-
-void Core::on_watch_bytes(ListWatch::Id watch, std::string_view bytes, Ms now, double wall_now) {
-  discovery_.on_watch_bytes(watch, bytes, now, wall_now);
-}
-
-void Core::on_watch_ended(ListWatch::Id watch, const std::string& reason, Ms now) {
-  discovery_.on_watch_ended(watch, reason, now);
-}
-
-void Core::on_fetched(std::string_view json, Ms now, double wall_now) {
-  discovery_.on_fetched(json, now, wall_now);
-}
-
-void Core::on_fetch_failed(const std::string& reason) { discovery_.on_fetch_failed(reason); }
-
-void Core::on_health_check_result(EndpointId endpoint, HealthCheckId id, AttemptOutcome outcome, Ms duration,
-                                  std::string_view body) {
-  health_checks_.on_result(endpoint, id, outcome, duration, body);
-}
-
 // ---- The controller ----
 
 void Core::start_controller() {
@@ -285,16 +260,10 @@
   else discovery_.unsubscribe();
 }
 
-void Core::execute(const FetchEndpoints&) { discovery_.fetch(); }
-
 void Core::execute(const SetTimer& action) {
   timers_.emplace(action.deadline.time_since_epoch().count(), action.token);
 }
 
-void Core::execute(const SendHealthCheck& action) { health_checks_.start(action.endpoint); }
-
-void Core::execute(const SendPeerMessage&) {}  // the platform has no messages between assigners
-
 void Core::execute(const AckRequest& action) {
   requested_ack_ = action.sequence_number;
   if (!action.all_proxies) return;
--- a/src/platform/core.h
+++ b/src/platform/core.h
@@ -52,18 +52,27 @@
   Core& operator=(const Core&) = delete;
 
   // ---- Inputs; their effects are taken after run_once() ----
-  void on_connection_opened(ConnectionId id, Ms now);
+  void on_connection_opened(ConnectionId id, Ms now) { sessions_.add(id, now); }
   // Bytes of a connection that is over are ignored.
   void on_bytes(ConnectionId id, std::string_view bytes, Ms now);
   // The peer or the network closed it; `reason` is logged.
-  void on_connection_closed(ConnectionId id, const std::string& reason);
-  void on_watch_bytes(ListWatch::Id watch, std::string_view bytes, Ms now, double wall_now);
-  void on_watch_ended(ListWatch::Id watch, const std::string& reason, Ms now);
-  void on_fetched(std::string_view json, Ms now, double wall_now);
-  void on_fetch_failed(const std::string& reason);
+  void on_connection_closed(ConnectionId id, const std::string& reason) { end_session(id, reason); }
+  // Of a watch that is over, bytes and end are ignored.
+  void on_watch_bytes(ListWatch::Id watch, std::string_view bytes, Ms now, double wall_now) {
+    discovery_.on_watch_bytes(watch, bytes, now, wall_now);
+  }
+  void on_watch_ended(ListWatch::Id watch, const std::string& reason, Ms now) {
+    discovery_.on_watch_ended(watch, reason, now);
+  }
+  void on_fetched(std::string_view json, Ms now, double wall_now) {
+    discovery_.on_fetched(json, now, wall_now);
+  }
+  void on_fetch_failed(const std::string& reason) { discovery_.on_fetch_failed(reason); }
   // `duration`: ms; `body`: of the endpoint's answer, empty if there was none.
   void on_health_check_result(EndpointId endpoint, HealthCheckId id, AttemptOutcome outcome, Ms duration,
-                              std::string_view body);
+                              std::string_view body) {
+    health_checks_.on_result(endpoint, id, outcome, duration, body);
+  }
   // Another configuration holds from now on, but for its listen address. Where the settings differ a new
   // controller takes over.
   void reconfigure(Configuration next, Ms now);
@@ -114,10 +123,10 @@
   void hand_over_streams(Ms now);
   void execute(const std::vector<Action>& actions, Ms now);
   void execute(const Subscribe& action);
-  void execute(const FetchEndpoints& action);
+  void execute(const FetchEndpoints&) { discovery_.fetch(); }
   void execute(const SetTimer& action);
-  void execute(const SendHealthCheck& action);
-  void execute(const SendPeerMessage& action);
+  void execute(const SendHealthCheck& action) { health_checks_.start(action.endpoint); }
+  void execute(const SendPeerMessage&) {}  // the platform has no messages between assigners
   void execute(const SetWeight& action) { updates_.apply(action); }
   void execute(const ClearTable& action) { updates_.apply(action); }
   void execute(const AssignTable& action) { updates_.apply(action); }
--- /dev/null
+++ b/tests/platform/session_test.cpp
@@ -0,0 +1,70 @@
+// One connection's limits in time and bytes.
+#include "platform/session.h"
+
+#include <gtest/gtest.h>
+
+namespace beamshunt::platform {
+namespace {
+
+TEST(Session, HandsOutMessagesWithoutBlankLines) {
+  Session session(0);
+  session.receive("{}\n\n \r\n{\"a\":1}\n{", 0);
+  EXPECT_EQ(session.next_message(), "{}");
+  EXPECT_EQ(session.next_message(), "{\"a\":1}");
+  EXPECT_FALSE(session.next_message());
+  EXPECT_EQ(session.unfinished_bytes(), 1u);
+}
+
+// A stranger connects and says nothing, or never finishes what it says.
+TEST(Session, TheHandshakeIsOverdueAfterASecondUnlessThePeerRegistered) {
+  Session stranger(100);
+  EXPECT_FALSE(stranger.handshake_timed_out(1099));
+  EXPECT_TRUE(stranger.handshake_timed_out(1100));
+  Session collector(100);
+  collector.register_collector();
+  EXPECT_FALSE(collector.handshake_timed_out(5000));
+}
+
+// A peer sends a message byte by byte. The time runs from the message's first byte, not from its last.
+TEST(Session, AMessageIsOverdueThreeSecondsAfterItsFirstByte) {
+  Session session(0);
+  session.receive("{}\n{", 1000);
+  while (session.next_message()) {
+  }
+  session.receive(" ", 3900);
+  EXPECT_FALSE(session.next_message());
+  EXPECT_FALSE(session.message_timed_out(3999));
+  EXPECT_TRUE(session.message_timed_out(4000));
+  session.receive("}\n", 4000);
+  EXPECT_TRUE(session.next_message());
+  EXPECT_FALSE(session.message_timed_out(9000)) << "nothing is unfinished";
+}
+
+TEST(Session, OnlyARegisteredPeerMaySendLongMessages) {
+  const std::string message = "{" + std::string(5000, ' ') + "}\n";
+  Session stranger(0);
+  stranger.receive(message, 0);
+  EXPECT_THROW(static_cast<void>(stranger.next_message()), ProtocolError);
+  Session registered(0);
+  registered.register_proxy({});
+  registered.receive(message, 0);
+  EXPECT_TRUE(registered.next_message());
+}
+
+TEST(Session, FourMalformedMessagesInARowAreTooMany) {
+  Session session(0);
+  for (int k = 0; k < 3; ++k) EXPECT_FALSE(session.count_malformed_message());
+  session.count_valid_message();
+  for (int k = 0; k < 3; ++k) EXPECT_FALSE(session.count_malformed_message());
+  EXPECT_TRUE(session.count_malformed_message());
+}
+
+TEST(Session, SentMessagesLeaveTheWindow) {
+  Session session(0);
+  for (Ms now : {0, 100, 200}) session.count_sent_message(now);
+  EXPECT_EQ(session.sent_messages_within(1000, 1000), 3u);
+  EXPECT_EQ(session.sent_messages_within(1000, 1150), 1u);
+}
+
+}  // namespace
+}  // namespace beamshunt::platform
