--- a/src/platform/list_watch.cpp
+++ b/src/platform/list_watch.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Bytes of one object: more than the complete list of the largest fleet.
-constexpr std::size_t kMaxObjectBytes = 4 * 1048576;
+constexpr std::size_t kMaxObjectBytes = 4194304;
 // ms to the first retry: discovery may only have restarted.
 constexpr Ms kFirstRetryDelay = 250;
 // ms to any retry: what discovery has to tell counts as told after 6 s, received or not.
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -35,7 +35,7 @@
 // Bytes read from one connection in a turn of the loop: no sender may keep the others waiting.
 constexpr std::size_t kMaxBytesPerTurn = 65536;
 // Bytes of one answer of discovery: more than the complete list of the largest fleet.
-constexpr std::size_t kMaxDiscoveryBytes = 4 * 1048576;
+constexpr std::size_t kMaxDiscoveryBytes = 4194304;
 // Closed connections that may still take their time to read the reason: each holds a descriptor.
 constexpr std::size_t kMaxLingering = 8;
 constexpr int kHttpOk = 200;
--- a/tests/platform/core_test.cpp
+++ b/tests/platform/core_test.cpp
@@ -1,4 +1,4 @@
-// The platform's assigner in simulated time: joinings, orders, marks, the list, and every bad peer.
+// The platform's core in simulated time: registrations, updates, acks, the endpoint list, and every bad peer.
 #include "platform/core.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace beamshunt::platform::test {
 namespace {
 
-TEST(PlatformCore, AJoinedProxyIsGivenItsTablesInOneMarkedMessage) {
+TEST(PlatformCore, ARegisteredProxyGetsItsTablesInOneMessageThatAsksForAnAck) {
   Rig rig;
   ASSERT_EQ(rig.got<OpenWatch>().size(), 1u);
   EXPECT_EQ(rig.got<OpenWatch>()[0].from_version, 5u) << "the watch goes on from the list known at the start";
@@ -23,7 +23,9 @@
   for (std::size_t k = 0; k + 1 < messages.size(); ++k) EXPECT_TRUE(messages[k]["part"].get<bool>());
 }
 
-TEST(PlatformCore, ADrainReachesEveryProxyWithinItsGrace) {
+// An endpoint drains. Each proxy must stop sending to it before the grace period ends, and must keep others
+// to send to.
+TEST(PlatformCore, ADrainReachesEveryProxyWithinItsGracePeriod) {
   Rig rig;
   std::vector<ConnectionId> all{rig.join(0), rig.join(1), rig.join(2)};
   rig.live(1500, all);
@@ -37,7 +39,9 @@
     }
 }
 
-TEST(PlatformCore, WhatItWritesIsWhatTheModuleCounts) {
+// The controller keeps account of the channel by lines. Counted otherwise than written, its queue would
+// seem full or empty when it is not.
+TEST(PlatformCore, TheLinesWrittenAreTheLinesThatTheProtocolCounts) {
   Rig rig;
   ConnectionId p = rig.join(0);
   rig.run_once();
@@ -50,6 +54,9 @@
   EXPECT_EQ(rig.core.counters().lines, lines);
 }
 
+// Peers connect that speak other protocols, name proxies or localities that do not exist, report before
+// they register, or say nothing. Each is told the reason and closed in time; the proxy beside them notices
+// nothing.
 TEST(PlatformCore, BadPeersAreToldWhyAndClosedAndTheGoodOneIsNot) {
   Rig rig;
   ConnectionId good = rig.join(0);
@@ -87,7 +94,7 @@
   peer(R"({"t":"hello","no)", "nobody has joined in time");
   peer(R"({"t":"probe"})"
        "\n",
-       "nobody has joined in time");  // a health check is no joining
+       "nobody has joined in time");  // a health check is no registration
   rig.live(1300, {good});
   for (auto& [id, reason] : bad) {
     EXPECT_NE(rig.error(id).find(reason), std::string::npos) << rig.error(id) << " for " << reason;
@@ -108,7 +115,9 @@
   }
 }
 
-TEST(PlatformCore, SpoiltReportsAreDroppedAloneUntilNothingElseComes) {
+// A registered peer sends malformed reports among valid ones: only those are lost. Once nothing valid comes
+// any more the connection is closed.
+TEST(PlatformCore, MalformedReportsAreDroppedAloneUntilNothingElseComes) {
   Rig rig;
   ConnectionId p = rig.join(0), c = rig.collector();
   for (int k = 0; k < 20; ++k) {
@@ -135,7 +144,9 @@
   EXPECT_TRUE(rig.is_closed(c));
 }
 
-TEST(PlatformCore, AStreamThatTurnsUnreadableHasLeftAtThatMoment) {
+// A stream goes on with bytes that are no messages. By the protocol its proxy has left at that moment, so
+// the controller must hear of it before anything else.
+TEST(PlatformCore, AStreamThatTurnsUnreadableIsDisconnectedAtThatMoment) {
   Rig rig;
   ConnectionId p = rig.join(0);
   rig.live(300, {p});
@@ -145,6 +156,8 @@
   EXPECT_TRUE(rig.is_closed(p));
 }
 
+// A proxy connects again before the end of its former stream is seen. The new stream stands for the proxy;
+// the end of the former one, seen late, must not disconnect it.
 TEST(PlatformCore, ANewStreamOfTheSameProxyTakesThePlaceOfTheFormerOne) {
   Rig rig;
   ConnectionId first = rig.join(0);
@@ -175,7 +188,9 @@
   return {alive, silent};
 }
 
-TEST(PlatformCore, ASilentStreamIsFoundByTheAnswersOfTheOthers) {
+// A machine vanishes: its stream stays open and silent, and TCP never tells. Its unacknowledged lines would
+// stall all updates. The ack of a later message to another proxy shows that the channel has delivered.
+TEST(PlatformCore, AnUnresponsiveStreamIsFoundByTheAcksOfTheOthers) {
   Rig rig;
   auto [alive, silent] = one_falls_silent(rig);
   rig.live(900, {alive});
@@ -186,7 +201,9 @@
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
 
-TEST(PlatformCore, ASlowChannelIsNoSilence) {
+// The channel is slow and nobody has acknowledged anything. No stream may be closed for that: a stream that
+// this side ends does not count as left.
+TEST(PlatformCore, ASlowChannelMakesNoStreamUnresponsive) {
   Rig rig;
   ConnectionId a = rig.join(0), b = rig.join(1);
   rig.live(8000);  // neither answers: their messages still wait
@@ -194,22 +211,26 @@
   EXPECT_FALSE(rig.is_closed(b));
 }
 
-TEST(PlatformCore, AMarkWhoseAnswerWasSpoiltLeavesTheAccountAndItsStreamStays) {
+// The ack of one message was malformed and is lost. Its lines must leave the account of the channel, and
+// the stream, which is alive, must stay.
+TEST(PlatformCore, ANonceWhoseAckWasMalformedIsReleasedAndItsStreamStays) {
   Rig rig;
-  ConnectionId good = rig.join(0), spoilt = rig.join(1);
+  ConnectionId good = rig.join(0), malformed = rig.join(1);
   rig.run_once();
   rig.live(300, {good});
-  rig.bytes(spoilt, R"({"t":"ack","node":1,"nonce":"x","latency":1})"
-                    "\n");
+  rig.bytes(malformed, R"({"t":"ack","node":1,"nonce":"x","latency":1})"
+                       "\n");
   stir(rig, 6);
   rig.live(900, {good});
-  rig.answer(spoilt);  // all that came since, and the first mark besides, which stands for nothing new
+  rig.answer(malformed);  // all that came since, and the first nonce besides, which was released
   stir(rig, 7);
-  rig.live(2500, {good, spoilt});
-  EXPECT_FALSE(rig.is_closed(spoilt));
+  rig.live(2500, {good, malformed});
+  EXPECT_FALSE(rig.is_closed(malformed));
   EXPECT_EQ(rig.core.counters().unresponsive, 0u);
 }
 
+// A thousand strangers connect and say nothing. The oldest are closed first and no proxy loses its
+// connection.
 TEST(PlatformCore, StrangersNeverTakeTheDescriptorsOfProxies) {
   Rig rig(configuration(128));
   std::vector<ConnectionId> proxies;
@@ -225,6 +246,8 @@
   EXPECT_EQ(rig.core.connections(), 40u);
 }
 
+// Nothing is written to collectors, so broken connections of theirs are never seen to end. New ones push
+// out the oldest of their own locality.
 TEST(PlatformCore, CollectorsOfALocalityAreBoundedAndTheNewestStay) {
   Rig rig;
   ConnectionId elsewhere = rig.collector("south");
@@ -237,6 +260,8 @@
   EXPECT_FALSE(rig.is_closed(elsewhere));
 }
 
+// A peer begins a message and never ends it: it is closed. Another sends its message in slow pieces and
+// ends it in time: it stays.
 TEST(PlatformCore, AMessageThatNeverEndsEndsItsConnection) {
   Rig rig;
   ConnectionId p = rig.join(0), slow = rig.collector();
@@ -250,7 +275,9 @@
   EXPECT_FALSE(rig.is_closed(slow)) << "in pieces, but whole in the end";
 }
 
-TEST(PlatformCore, AWatchThatLivesIsNotAskedAnewAndALostOneIs) {
+// The controller subscribes again from time to time. An open watch brings all that a new one would, so it
+// stays; a lost one is reopened.
+TEST(PlatformCore, AnOpenWatchIsNotReopenedAndALostOneIs) {
   Rig rig;
   rig.live(20000);
   EXPECT_EQ(rig.got<OpenWatch>().size(), 1u);
@@ -272,7 +299,10 @@
   EXPECT_FALSE(rig.is_closed(p));
 }
 
-TEST(PlatformCore, OtherSettingsBringAFreshModuleThatBindsAllStreamsAgain) {
+// Settings change while streams are open. The new controller knows nothing of what proxies hold, and nonces
+// must not repeat. Where localities change, what the proxies registered as means nothing any more: they
+// must connect again.
+TEST(PlatformCore, OtherSettingsBringANewControllerThatAssignsTablesToAllStreamsAgain) {
   Rig rig;
   ConnectionId p = rig.join(0);
   rig.live(500, {p});
@@ -285,9 +315,9 @@
   EXPECT_TRUE(rig.messages(p).at(before).value("replace", false));
   std::set<int> stamps;
   for (const json& m : rig.messages(p))
-    EXPECT_TRUE(!m.contains("stamp") || stamps.insert(m["stamp"].get<int>()).second) << "a mark twice";
+    EXPECT_TRUE(!m.contains("stamp") || stamps.insert(m["stamp"].get<int>()).second) << "a nonce twice";
   EXPECT_EQ(rig.core.counters().malformed, 0u);
-  next["settings"]["azs"] = {"north", "south", "west"};  // what a joining meant may be no more
+  next["settings"]["azs"] = {"north", "south", "west"};  // what a registration meant may be no more
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
   rig.run_once();
   EXPECT_TRUE(rig.is_closed(p));
@@ -296,7 +326,10 @@
 
 // ---- Where two events cross ----
 
-TEST(PlatformCore, AFormerWatchTellsUntilTheNewOneHasTold) {
+// Discovery moves to another address. The watch there is open but has brought nothing usable; a drain comes
+// by the former watch, which must still be listened to. What the former one brings after it was closed must
+// change nothing.
+TEST(PlatformCore, AFormerWatchServesUntilTheNewOneHasServed) {
   Rig rig;
   ConnectionId p = rig.join(0);
   rig.tell(list(5, false, {}));
@@ -325,7 +358,9 @@
   EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 0u);
 }
 
-TEST(PlatformCore, ANewWatchThatFailsIsOpenedAgainWhileTheFormerOneStillTells) {
+// After a move the new address refuses watches for a while. It is tried again within the time in which
+// changes count as told, and the list is not lost as long as one watch is open.
+TEST(PlatformCore, ANewWatchThatFailsIsReopenedWhileTheFormerOneStillServes) {
   Rig rig;
   rig.tell(list(6, false, {}));
   auto former = rig.newest_watch();
@@ -349,6 +384,8 @@
   EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 1u);
 }
 
+// Discovery moves several times in a moment. Each watch left behind is closed, and the last address is the
+// one watched.
 TEST(PlatformCore, MovesThereAndBackLeaveOneWatchAtTheLastAddress) {
   Rig rig;
   rig.tell(list(6, false, {}));
@@ -365,7 +402,9 @@
   EXPECT_EQ(rig.got<CloseWatch>().size(), 4u);
 }
 
-TEST(PlatformCore, AnObjectInHalfAtTheEndOfItsWatchIsAskedForAgain) {
+// A watch breaks in the middle of an object that brings a drain. The next watch must start from the last
+// version applied, and the late half must not be applied to it.
+TEST(PlatformCore, AnObjectCutOffByTheEndOfItsWatchIsRequestedAgain) {
   Rig rig;
   ConnectionId p = rig.join(0);
   rig.live(500, {p});
@@ -384,7 +423,8 @@
   EXPECT_FALSE(rig.tables(p)["look"].contains("s-a"));
 }
 
-TEST(PlatformCore, AFetchThatFailsWhileAWatchTellsLosesNoList) {
+// A fetch of the list fails while a watch is open: nothing is lost. Without a watch it is.
+TEST(PlatformCore, AFetchThatFailsWhileAWatchServesLosesNoList) {
   Rig rig;
   rig.core.on_fetch_failed("it ended with status 503");
   rig.run_once();
@@ -395,7 +435,9 @@
   EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 2u);
 }
 
-TEST(PlatformCore, LateAnswersToSettledMarksAreNoFaultOfTheStream) {
+// A proxy that lives acknowledges long after its nonces were released. Counted as malformed, a few such
+// acks in a row would close a sound stream.
+TEST(PlatformCore, LateAcksOfReleasedNoncesAreNoErrorOfTheStream) {
   Rig rig;
   ConnectionId p = rig.join(0), other = rig.join(1);
   rig.run_once();
@@ -422,7 +464,9 @@
   EXPECT_GT(rig.core.counters().late_acks, 4u);
 }
 
-TEST(PlatformCore, AnswersToAFormerModulesMarksAreNoFaultAndFreeItsLines) {
+// Controllers are replaced several times before the first acks come. The acks are valid, and free the lines
+// that the former controllers' messages held.
+TEST(PlatformCore, AcksOfAFormerControllersNoncesAreNoErrorAndFreeItsLines) {
   Rig rig;
   std::vector<ConnectionId> all;
   for (int k = 0; k < 6; ++k) all.push_back(rig.join(k));
@@ -438,7 +482,9 @@
   EXPECT_EQ(rig.core.counters().malformed, 0u);
 }
 
-TEST(PlatformCore, AFreshModuleKeepsTheMessagesAllowedToAProxyTogetherWithTheFormerOne) {
+// The messages to one proxy are limited within a window. Each new controller, beginning its own count at 0,
+// would exceed the limit together with the former ones.
+TEST(PlatformCore, ANewControllerKeepsTheLimitOfMessagesToAProxyTogetherWithTheFormerOne) {
   json c = configuration();
   c["settings"]["family_info"]["pushes_allowed"] = 6;
   Rig rig(c);
@@ -458,9 +504,11 @@
   }
   ASSERT_LT(rig.now - begun, 10000) << "all within the span that counts";
   EXPECT_LE(messages(), 15u)
-      << "the binds that fresh modules owe, and hardly more: they use up what is allowed";
+      << "the assignments that new controllers owe, and hardly more: they use up what is allowed";
 }
 
+// Localities are numbered by the settings. After a change, endpoints known by their former numbers would be
+// taken for those of another locality.
 TEST(PlatformCore, OtherLocalitiesFindTheListByItsNewNumbers) {
   Rig rig;
   rig.join(0);
@@ -479,7 +527,10 @@
   EXPECT_FALSE(rig.tables(p)["look"].contains("s-a"));
 }
 
-TEST(PlatformCore, AnAnswerToAFormerModulesProbeIsNotThePresentOnes) {
+// Health checks hang while the controller is replaced. Their results, coming late, must not be taken for
+// those of the new controller's own checks; nor is an endpoint checked again while a check of it is in
+// flight.
+TEST(PlatformCore, TheResultOfAFormerControllersHealthCheckIsIgnored) {
   Rig rig;
   rig.live(1100);
   auto asked = rig.got<StartHealthCheck>();
@@ -492,15 +543,17 @@
   next["settings"]["guarantees"]["warm_up"] = 9000.0;
   rig.core.reconfigure(parse_configuration(next.dump()), rig.now);
   rig.live(1100);
-  EXPECT_EQ(rig.got<StartHealthCheck>().size(), 2 * asked.size()) << "the fresh module asks for itself";
+  EXPECT_EQ(rig.got<StartHealthCheck>().size(), 2 * asked.size()) << "the new controller checks for itself";
   std::size_t before = rig.got<StartHealthCheck>().size();
   for (auto& check : asked)
     rig.core.on_health_check_result(check.endpoint, check.id, AttemptOutcome::success, 3, "");
   rig.live(1100);
-  EXPECT_EQ(rig.got<StartHealthCheck>().size(), before) << "its own probes are still out";
+  EXPECT_EQ(rig.got<StartHealthCheck>().size(), before) << "its own checks are in flight";
 }
 
-TEST(PlatformCore, WhoIsAskedToMakeRoomAndHasJoinedMeanwhileStays) {
+// A proxy is chosen to make room while its registration waits in the socket. The shell reads it a last
+// time, and then it must stay.
+TEST(PlatformCore, WhoIsToMakeRoomAndHasRegisteredMeanwhileStays) {
   Rig rig(configuration(128));
   std::vector<ConnectionId> early;
   ConnectionId proxy{};
@@ -509,7 +562,7 @@
     rig.core.on_connection_opened(id, rig.now);
     if (k == 1) proxy = id;
     while (auto oldest = rig.core.eviction_candidate()) {
-      // The shell reads it a last time, and there the joining is.
+      // The shell reads it a last time, and there the registration is.
       if (*oldest == proxy)
         rig.say(proxy, {{"t", "hello"}, {"node", 3}, {"locality", "north"}, {"w", 20.0}, {"cold", true}});
       rig.core.evict(*oldest);
@@ -520,7 +573,9 @@
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
 
-TEST(PlatformCore, WhoJoinsPastTheLastDescriptorIsToldSoAndTheOthersKeepTheirs) {
+// More proxies register than there are descriptors. Those past the limit are told so; the others, and the
+// connections to discovery and endpoints, keep theirs.
+TEST(PlatformCore, WhoRegistersPastTheLastDescriptorIsToldSoAndTheOthersKeepTheirs) {
   json c = configuration(128);
   c["settings"]["family_info"]["agents"] = 200;
   Rig rig(c);
@@ -543,7 +598,9 @@
   EXPECT_EQ(rig.core.proxies(), 80u);
 }
 
-TEST(PlatformCore, AStreamThatFallsSilentAfterLongHealthIsFoundThoughNothingIsWrittenToIt) {
+// A proxy vanishes while no update is due. Without a message there is no ack to miss, so a nonce alone is
+// sent to idle streams. One that is idle for lack of requests answers and stays.
+TEST(PlatformCore, AStreamThatFallsSilentIsFoundThoughNothingIsWrittenToIt) {
   Rig rig;
   ConnectionId lively = rig.join(0), quiet = rig.join(1), silent = rig.join(2);
   rig.live(40000, {lively, quiet, silent});
@@ -559,7 +616,9 @@
   EXPECT_LE(rig.core.counters().liveness_checks - before, 10u) << "one a stream in ten seconds";
 }
 
-TEST(PlatformCore, AStreamThatWasJudgedSilentAndItsSuccessorInOneTurn) {
+// A stream is about to be closed as unresponsive when its proxy connects again. Its late bytes and its end
+// must not touch the successor.
+TEST(PlatformCore, AnUnresponsiveStreamAndItsSuccessorInOneRun) {
   Rig rig;
   auto [alive, silent] = one_falls_silent(rig);
   ConnectionId successor = rig.join(1);  // just before it would be judged
@@ -572,7 +631,9 @@
   EXPECT_EQ(rig.core.counters().malformed, 0u);
 }
 
-TEST(PlatformCore, AJoiningInTwoPiecesAcrossTheLimitIsTakenOrRefusedAsAWhole) {
+// A registration comes in two pieces around the end of the handshake's time. What follows a rejection in
+// the same read must be ignored.
+TEST(PlatformCore, ARegistrationInTwoPiecesAcrossTheTimeoutIsAcceptedOrRejectedAsAWhole) {
   for (bool after : {false, true}) {
     Rig rig;
     ConnectionId id = rig.open();
@@ -589,6 +650,8 @@
   }
 }
 
+// Hundreds of peers send random pieces of messages. None of it may close a sound stream or register more
+// proxies than were named.
 TEST(PlatformCore, RandomBytesInRandomPiecesNeverReachAnotherPeer) {
   beamshunt::test::Draw draw(11);
   Rig rig;
--- a/tests/platform/directory_test.cpp
+++ b/tests/platform/directory_test.cpp
@@ -48,6 +48,8 @@
   EXPECT_TRUE(directory.uid(*directory.find("s-c"))) << "orders that remove its lines still name it";
 }
 
+// Entries come with values that can't be used. A drain in the same entry or in the next counts as told, so
+// it must be applied; the version is requested again.
 TEST_F(DirectoryTest, AnUnusableValueStopsNeitherTheOtherEntriesNorTheDrainBesideIt) {
   apply(four());
   json drains = target("s-a", "nowhere", "terminating");
@@ -65,13 +67,16 @@
   EXPECT_TRUE(directory.address(*directory.find("s-a"))) << "the address known before";
 }
 
-TEST_F(DirectoryTest, ARevisionThatGoesBackIsFollowed) {
+// Discovery restarts from an older state. Its changes still hold.
+TEST_F(DirectoryTest, ARevisionThatGoesBackIsApplied) {
   apply(four());
   apply(list(2, false, {target("s-b", "north", "terminating")}));
   EXPECT_EQ(state("s-b"), EndpointState::draining);
   EXPECT_EQ(directory.version(), 2u);
 }
 
+// A former watch, or a source that lags behind, brings an older revision late. What is new in it is
+// applied, but no endpoint that drains or is removed becomes available by it.
 TEST_F(DirectoryTest, AnOlderRevisionTakesBackNoDrainAndNoStart) {
   apply(four());
   json restarted = target("s-c", "south");
@@ -97,7 +102,9 @@
   EXPECT_EQ(state("s-a"), EndpointState::available) << "a newer one may take a drain back";
 }
 
-TEST_F(DirectoryTest, WhatWasSpoiltIsAskedForAgainHoweverSoundWhatFollows) {
+// One revision was malformed in part and valid ones follow. What was lost may be a drain, so the version
+// must stay before it until the list was requested again.
+TEST_F(DirectoryTest, AMalformedRevisionIsRequestedAgainHoweverValidTheNextOnesAre) {
   apply(four());
   apply(list(6, false, {target("s-a", "north", "odd")}));
   apply(list(7, false, {target("s-b", "north", "terminating")}));
@@ -107,6 +114,8 @@
   EXPECT_EQ(directory.version(), 7u);
 }
 
+// New settings name other localities. Endpoints in none of them are not listed any more, and the others get
+// their new numbers.
 TEST_F(DirectoryTest, OtherLocalitiesLeaveOutWhoIsInNoneOfThem) {
   apply(four());
   directory.rename({{"west", "south"}, {"look"}});
@@ -115,6 +124,8 @@
   EXPECT_EQ(directory.version(), 0u);
 }
 
+// The wall clock is set while endpoints run. Computed anew from each object, an endpoint's start would move
+// and look like a restart, which means a slow start.
 TEST_F(DirectoryTest, AStartIsOneInstantWhateverTheWallClockDoesLater) {
   json started = target("s-a", "north");
   started["boot_ms"] = 5e11 - 400;
@@ -127,7 +138,9 @@
             Time(Duration(2500)));
 }
 
-TEST_F(DirectoryTest, WhatIsLongGoneIsForgottenAndWhatIsJustGoneStillHasItsName) {
+// All endpoints are replaced every minute for hours. Memory must not grow, but updates still name an
+// endpoint for some time after its removal.
+TEST_F(DirectoryTest, RemovedEndpointsAreForgottenInTimeAndNotAtOnce) {
   Ms now = 1000;
   std::string last;
   for (int k = 0; k < 500; ++k) {  // all are replaced every minute, for hours
@@ -147,6 +160,7 @@
   EXPECT_EQ(directory.listed().size(), 20u);
 }
 
+// Discovery answers with bytes that are no list. They are rejected as a whole.
 TEST_F(DirectoryTest, WhatIsNoListChangesNothing) {
   apply(four());
   for (const char* bad : {"", "[]", "{", R"({"rev":1,"all":true})", R"({"rev":1,"targets":[]})",
--- a/tests/platform/list_watch_test.cpp
+++ b/tests/platform/list_watch_test.cpp
@@ -18,7 +18,7 @@
   return opened.id;
 }
 
-TEST(ListWatch, HandsOutObjectsWholeWhateverThePieces) {
+TEST(ListWatch, HandsOutCompleteObjectsWhateverThePieces) {
   ListWatch list(1);
   std::vector<ListWatch::Id> closed;
   auto n = open(list, closed);
@@ -34,7 +34,9 @@
   EXPECT_TRUE(list.receive(n + 1, "{}\n").empty()) << "no such watch";
 }
 
-TEST(ListWatch, TheFormerOneIsOverOnlyOnceTheNewOneTells) {
+// Discovery has moved and the new watch has brought nothing yet. Until it does, the former one is the only
+// source of drains.
+TEST(ListWatch, AFormerWatchIsOverOnlyOnceTheNewOneServes) {
   ListWatch list(1);
   std::vector<ListWatch::Id> closed;
   auto first = open(list, closed);
@@ -47,6 +49,8 @@
   EXPECT_EQ(list.end(first, 0), ListWatch::EndEffect::none);
 }
 
+// Discovery moves again and again. Each watch holds a descriptor, so no more than the serving one and the
+// newest stay open.
 TEST(ListWatch, NoMoreThanTwoAreOpenHoweverOftenItMoves) {
   ListWatch list(1);
   std::vector<ListWatch::Id> closed;
@@ -56,6 +60,8 @@
   EXPECT_EQ(list.open_count(), 2u);
 }
 
+// Watches end in every order. The list is lost only when none is left; with a newer one on its way, the end
+// of a former one means nothing.
 TEST(ListWatch, TheListIsLostWithTheLastWatchAlone) {
   using EndEffect = ListWatch::EndEffect;
   std::vector<ListWatch::Id> closed;
@@ -73,7 +79,9 @@
   EXPECT_EQ(list.end(fourth, 0), EndEffect::all_lost);
 }
 
-TEST(ListWatch, RetriesAreSpreadAndBoundedAndBeginAnewOnceItTells) {
+// Discovery goes down and all assigners lose their watches at once. Coming back together, they would
+// overload it.
+TEST(ListWatch, RetriesAreSpreadAndBoundedAndBeginAnewOnceAWatchServes) {
   std::set<Ms> first;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     ListWatch list(seed);
@@ -92,6 +100,7 @@
   EXPECT_EQ(first.size(), 20u) << "assigners that lose one discovery do not come back together";
 }
 
+// A broken source sends bytes without a line end. They must not fill the memory.
 TEST(ListWatch, AnObjectWithoutEndIsNotHeldForever) {
   ListWatch list(1);
   std::vector<ListWatch::Id> closed;
--- a/tests/platform/message_test.cpp
+++ b/tests/platform/message_test.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-TEST(Message, SoundOnesAreRead) {
+TEST(Message, ValidOnesAreRead) {
   auto registration = std::get<ProxyRegistration>(
       parse_message(R"({"t":"hello","node":17,"locality":"south","w":21.5,"cold":true})", kNames, 40));
   EXPECT_EQ(registration.proxy, ProxyId{17});
@@ -47,9 +47,11 @@
       R"({"t":"outcomes","locality":"north","endpoint":"s-a","total":2,"errors":2,"interval":1000})"));
 }
 
-TEST(Message, ASpoiltFieldSpoilsItsMessageAlone) {
+// A field of a message is missing, of the wrong type or out of range. That message is rejected and the next
+// can still be read; bytes that are no JSON object end the connection.
+TEST(Message, AMalformedFieldMakesItsMessageAloneMalformed) {
   using nlohmann::json;
-  json sound[] = {
+  json valid[] = {
       {{"t", "hello"}, {"node", 1}, {"locality", "north"}, {"w", 2.0}, {"cold", false}},
       {{"t", "ack"}, {"node", 1}, {"nonce", 5}, {"latency", 2.0}},
       {{"t", "demand"}, {"node", 1}, {"route", "buy"}, {"total", 5}, {"errors", 1}, {"interval", 500.0}},
@@ -61,16 +63,16 @@
        {"rtt", 3.0},
        {"interval", 500.0}},
   };
-  for (const json& message : sound) {
+  for (const json& message : valid) {
     ASSERT_FALSE(rejection(message.dump())) << message;
     for (auto& [name, value] : message.items()) {
-      json spoilt = message;
-      spoilt.erase(name);
-      EXPECT_EQ(rejection(spoilt.dump()), Scope::message) << spoilt;
+      json malformed = message;
+      malformed.erase(name);
+      EXPECT_EQ(rejection(malformed.dump()), Scope::message) << malformed;
       for (const json& wrong : {json(nullptr), json("zz"), json(json::array()), json(-1), json(1e300)}) {
         if (name == "endpoint" && wrong.is_string()) continue;  // the directory knows
-        spoilt[name] = wrong;
-        EXPECT_EQ(rejection(spoilt.dump()), Scope::message) << spoilt;
+        malformed[name] = wrong;
+        EXPECT_EQ(rejection(malformed.dump()), Scope::message) << malformed;
       }
     }
   }
@@ -106,7 +108,9 @@
   }
 }
 
-TEST(LineReader, RefusesAsSoonAsNoMessageCanCome) {
+// A peer speaks HTTP or TLS, or sends a line without end. Its first bytes show it: waiting for the line's
+// end would hold memory and a descriptor.
+TEST(LineReader, RejectsAsSoonAsNoMessageCanCome) {
   LineReader http(100);
   http.push("G");
   EXPECT_THROW(http.next(), ProtocolError);
@@ -121,7 +125,7 @@
   EXPECT_TRUE(fits.next());
 }
 
-TEST(LoadReport, IsReadByTheModulesNamesAndWhatIsUnusableIsLeftOut) {
+TEST(LoadReport, IsReadByTheControllersNamesAndUnusableFiguresAreLeftOut) {
   EXPECT_EQ(parse_load_report("TEXT inflight=7, queue=2, util=0.61\n"),
             (LoadReport{{"outstanding", 7}, {"backlog", 2}, {"utilization", 0.61}}));
   // Tasks were seen to report by the names of the settings' columns: not one of their reports was read.
@@ -132,7 +136,7 @@
   EXPECT_TRUE(parse_load_report("util=0.5").empty());
 }
 
-TEST(Push, PartsOfOneMessageCarryOneMarkInTheLast) {
+TEST(Push, PartsOfOneMessageCarryOneNonceInTheLast) {
   std::vector<UpdatePart> parts(2);
   parts[0] = {.classes = 1, .replaces_table = true, .weights = {{"s-a", 1.5}}};
   parts[1] = {.classes = 3, .limit = PartLimit{4.0, RetryMode::if_not_processed}};
--- a/tests/platform/service_test.cpp
+++ b/tests/platform/service_test.cpp
@@ -160,7 +160,9 @@
   EXPECT_EQ(child->stop(5000), 0);
 }
 
-TEST_F(PlatformProcess, HundredsOfStrangersAreTurnedAwayAndProxiesAreServedMeanwhile) {
+// Four hundred strangers connect under a limit of 256 descriptors: silent, speaking HTTP, stopping in the
+// middle or sending without end. Proxies before and after them are served.
+TEST_F(PlatformProcess, HundredsOfStrangersAreRejectedAndProxiesAreServedMeanwhile) {
   start_and_wait();
   auto early = join(0);
   until("a table", [&] { return early->holds("s-a"); });
@@ -184,6 +186,8 @@
   EXPECT_FALSE(late->over);
 }
 
+// SIGHUP comes with a configuration that names another discovery, then with one that can't be read. The
+// first moves the watch; the second is logged and changes nothing.
 TEST_F(PlatformProcess, ANewConfigurationMovesTheWatchAndABadOneChangesNothing) {
   Discovery other(reactor);
   auto proxy = start_and_serve_one();
@@ -202,6 +206,8 @@
 
 // ---- Where two events cross, each forced by a barrier ----
 
+// The new discovery answers 503 with a body that looks like a list. The body must not be applied, the
+// former watch must go on, and the new address must be tried again.
 TEST_F(PlatformProcess, AWatchThatIsRefusedAfterAMoveLeavesTheFormerOneAtWork) {
   Discovery other(reactor);
   other.refusals = 2;
@@ -215,6 +221,8 @@
   EXPECT_NE(other.asked.back().find("from=6"), std::string::npos);
 }
 
+// At a restart the former process still holds the listening address for a moment. The new one waits instead
+// of failing.
 TEST_F(PlatformProcess, AnAddressThatTheProcessBeforeStillHoldsIsWaitedFor) {
   auto former = std::make_unique<net::Listener>(reactor, listen, [](auto) {});
   start();
@@ -226,6 +234,7 @@
   until("alive", [&] { return alive(); });
 }
 
+// Standard error is a full pipe that nobody reads. A write that blocked would stop the assigner.
 TEST_F(PlatformProcess, NothingWaitsOnALogThatNobodyReads) {
   std::string pipe = folder_ + ".pipe";
   ::unlink(pipe.c_str());
@@ -244,6 +253,8 @@
   EXPECT_EQ(child->stop(0), 0);
 }
 
+// SIGTERM comes while discovery has not answered, while an object is half received, and while a proxy does
+// not read. Each time the process must end before SIGKILL follows.
 TEST_F(PlatformProcess, SigtermEndsItInOrderWhateverIsHalfDone) {
   for (int k = 0; k < 3; ++k) {
     discovery.holds = k == 0;
@@ -265,11 +276,13 @@
   }
 }
 
-TEST_F(PlatformProcess, AJoiningAmongHundredsOfStrangersInOneTurnIsRead) {
+// The process was stopped, and wakes to 600 strangers that came after a proxy. The proxy is the oldest and
+// would make room first, but its registration waits in the kernel and must be read before that.
+TEST_F(PlatformProcess, ARegistrationAmongHundredsOfStrangersInOneTurnIsRead) {
   start_and_wait();
   child->signal(SIGSTOP);
   std::vector<std::unique_ptr<Peer>> strangers;
-  auto first = join(0);  // the oldest of all, and its joining waits in the kernel
+  auto first = join(0);  // the oldest of all, and its registration waits in the kernel
   auto gone = join(1);
   until("that they are there", [&] { return first->connected && gone->connected; });
   gone->connection->reset();  // between its connect and the first read
@@ -284,6 +297,8 @@
   until("a table for who was reset", [&] { return again->holds("s-a"); });
 }
 
+// A drain and two SIGHUPs with new settings come in one turn of the loop. The new controller must not lose
+// the drain.
 TEST_F(PlatformProcess, OtherSettingsAndADrainInOneTurn) {
   auto proxy = start_and_serve_one();
   child->signal(SIGSTOP);
@@ -298,7 +313,8 @@
   EXPECT_FALSE(proxy->over);
 }
 
-TEST_F(PlatformProcess, WithoutASoundConfigurationItSaysWhyAndEnds) {
+// A setting that is needed is missing. The process names it and ends with the exit code for unusable input.
+TEST_F(PlatformProcess, WithoutAValidConfigurationItSaysWhyAndEnds) {
   configured["settings"]["family_info"].erase("agents");
   start();
   until("an end", [&] { return child->ended(); });
