--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -41,7 +41,7 @@
 };
 
 // Throws ConfigurationError.
-[[nodiscard]] Configuration parse_configuration(std::string_view json);
+[[nodiscard]] Configuration parse_configuration(std::string_view bytes);
 
 // Reads and parses the file. Throws ConfigurationError, also where there is no such file.
 [[nodiscard]] Configuration read_configuration(const std::string& file);
--- a/src/platform/directory.h
+++ b/src/platform/directory.h
@@ -48,7 +48,7 @@
   // drain counts as told once discovery wrote it. An outdated revision, from a former watch or a source that
   // lags behind, is applied too, but takes back no drain and no start. Throws EndpointListError where the bytes
   // are no list object; then nothing has changed.
-  Change apply(std::string_view json, const settings::Names& names, Ms now, double wall_now);
+  Change apply(std::string_view bytes, const settings::Names& names, Ms now, double wall_now);
 
   // The list is requested again from version() on: what was applied in part comes again.
   void on_resubscribe() { is_complete_ = true; }
--- a/src/platform/update_writer.cpp
+++ b/src/platform/update_writer.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cstdint>
 #include <optional>
+#include <ranges>
 #include <string>
 #include <utility>
 
@@ -18,9 +19,9 @@
 // and that it must follow: `must_follow` tells whether that holds of a part.
 template <typename Predicate>
 UpdatePart& part_for(UpdateWriter::Parts& parts, ClassMask classes, Predicate must_follow) {
-  for (auto part = parts.rbegin(); part != parts.rend(); ++part) {
-    if (part->classes == classes) return *part;
-    if ((part->classes & classes) != 0 && must_follow(*part)) break;
+  for (UpdatePart& part : std::views::reverse(parts)) {
+    if (part.classes == classes) return part;
+    if ((part.classes & classes) != 0 && must_follow(part)) break;
   }
   parts.emplace_back().classes = classes;
   return parts.back();
--- a/tests/platform/core_test.cpp
+++ b/tests/platform/core_test.cpp
@@ -234,8 +234,10 @@
 TEST(PlatformCore, StrangersNeverTakeTheDescriptorsOfProxies) {
   Rig rig(configuration(128));
   std::vector<ConnectionId> proxies;
+  proxies.reserve(40);
   for (int k = 0; k < 40; ++k) proxies.push_back(rig.join(k));
   std::vector<ConnectionId> strangers;
+  strangers.reserve(1000);
   for (int k = 0; k < 1000; ++k) strangers.push_back(rig.open());
   rig.run_once();
   EXPECT_LE(rig.core.connections(), 80u);
@@ -252,6 +254,7 @@
   Rig rig;
   ConnectionId elsewhere = rig.collector("south");
   std::vector<ConnectionId> all;
+  all.reserve(300);
   for (int k = 0; k < 300; ++k) all.push_back(rig.collector("north"));
   rig.run_once();
   EXPECT_LE(rig.core.connections(), 5u);
@@ -268,7 +271,7 @@
   rig.bytes(p, R"({"t":"dem)");
   for (int k = 0; k < 20; ++k) {
     rig.live(100);
-    rig.bytes(slow, std::string(k == 19 ? "}\n" : k == 0 ? "{\"t\":\"probe\"" : " "));
+    rig.bytes(slow, std::string(k == 19 ? "}\n" : k == 0 ? R"({"t":"probe")" : " "));
   }
   rig.live(1500);
   EXPECT_TRUE(rig.is_closed(p));
@@ -469,6 +472,7 @@
 TEST(PlatformCore, AcksOfAFormerControllersNoncesAreNoErrorAndFreeItsLines) {
   Rig rig;
   std::vector<ConnectionId> all;
+  all.reserve(6);
   for (int k = 0; k < 6; ++k) all.push_back(rig.join(k));
   rig.live(200);  // nobody has answered yet
   for (int k = 0; k < 5; ++k) {
--- a/tests/platform/rig.h
+++ b/tests/platform/rig.h
@@ -131,7 +131,7 @@
     std::vector<json> out;
     auto found = sent.find(id);
     std::string_view left = found == sent.end() ? std::string_view{} : found->second;
-    for (std::size_t end; (end = left.find('\n')) != left.npos; left.remove_prefix(end + 1))
+    for (std::size_t end; (end = left.find('\n')) != std::string_view::npos; left.remove_prefix(end + 1))
       out.push_back(json::parse(left.substr(0, end)));
     return out;
   }
