--- a/tests/platform/directory_test.cpp
+++ b/tests/platform/directory_test.cpp
@@ -15,7 +15,7 @@
   Directory::Change apply(const json& object, Ms now = 1000, double wall = 5e11) {
     return directory.apply(object.dump(), kNames, now, wall);
   }
-  EndpointState state(const char* uid) {
+  EndpointState state(const char* uid) const {
     for (const ListedEndpoint& e : directory.listed())
       if (e.id == directory.find(uid)) return e.state;
     return EndpointState::removed;
