--- a/fuzz/configstream.cpp
+++ b/fuzz/configstream.cpp
@@ -5,12 +5,12 @@
 #include <cstdlib>
 #include <stdexcept>
 
-#include "configstream/client.h"
-#include "configstream/store.h"
+#include "config_stream/client.h"
+#include "config_stream/store.h"
 
 namespace {
 
-using namespace beamshunt::configstream;
+using namespace beamshunt::config_stream;
 
 class OneFile final : public Disk {
  public:
--- a/src/assigner/config_feed.cpp
+++ b/src/assigner/config_feed.cpp
@@ -8,9 +8,9 @@
 namespace beamshunt::assigner {
 namespace {
 
-using configstream::Reason;
-using configstream::Record;
-using configstream::Version;
+using config_stream::Reason;
+using config_stream::Record;
+using config_stream::Version;
 
 constexpr std::size_t kMostQueued = 64 * 1048576;  // bytes of versions on their way to disk or gate
 constexpr Ms kLookEvery = 250;                     // at figures, while a version is on trial and before
@@ -21,13 +21,13 @@
 std::int64_t wall() { return static_cast<std::int64_t>(base::wall_ms()); }
 std::string lines(const std::vector<Reason>& reasons) {
   std::string out;
-  for (const Reason& r : reasons) out += (out.empty() ? "" : "\n") + configstream::to_string(r);
+  for (const Reason& r : reasons) out += (out.empty() ? "" : "\n") + config_stream::to_string(r);
   return out;
 }
 
 // Paths that a candidate gives otherwise than what runs.
-std::vector<std::string> changed_paths(const configstream::Resources& now,
-                                       const configstream::Resources& next) {
+std::vector<std::string> changed_paths(const config_stream::Resources& now,
+                                       const config_stream::Resources& next) {
   std::vector<std::string> out;
   for (auto& [key, resource] : next) {
     auto had = now.find(key);
@@ -61,8 +61,8 @@
   if (alone && alone->control) state = alone->state_folder;
   if (!alone) state = config::given_text(files, "state");
   if (state) {
-    std::unique_ptr<configstream::Disk> disk = configstream::folder_disk(config_folder(*state));
-    configstream::Ledger ledger = configstream::Store::look(*disk);
+    std::unique_ptr<config_stream::Disk> disk = config_stream::folder_disk(config_folder(*state));
+    config_stream::Ledger ledger = config_stream::Store::look(*disk);
     const Version* abandoned = nullptr;
     const Version* first = ledger.to_start(&abandoned);
     for (const Version* v : {first, ledger.confirmed()}) {
@@ -88,10 +88,10 @@
 namespace {
 
 // The versions on disk, with what the beginning has found out of them.
-std::shared_ptr<configstream::Store> open_store(const Beginning& beginning,
-                                                const std::vector<Reason>& evidence) {
-  auto store = std::make_shared<configstream::Store>(std::shared_ptr<configstream::Disk>(
-      configstream::folder_disk(config_folder(beginning.site.state_folder))));
+std::shared_ptr<config_stream::Store> open_store(const Beginning& beginning,
+                                                 const std::vector<Reason>& evidence) {
+  auto store = std::make_shared<config_stream::Store>(std::shared_ptr<config_stream::Disk>(
+      config_stream::folder_disk(config_folder(beginning.site.state_folder))));
   if (beginning.abandoned)
     store->add({.kind = Record::Kind::reverted,
                 .wall_ms = wall(),
@@ -139,7 +139,7 @@
               {{"version", std::to_string(beginning.abandoned->number)}, {"reason", lines(kEndedOnTrial)}});
   for (const std::string& note : beginning.notes)
     host_.say(log::Level::error, "config_not_usable", {{"reason", note}});
-  const configstream::Ledger& ledger = store_->ledger();
+  const config_stream::Ledger& ledger = store_->ledger();
   if (ledger.confirmed()) last_good_ = *ledger.confirmed();
   client_.pin(ledger.pinned(), reactor.now());
   if (beginning.version.number != 0) {
@@ -173,7 +173,7 @@
   turn_due_ = false;
   client_.turn(reactor_.now());
   for (auto effects = client_.take_effects(); !effects.empty(); effects = client_.take_effects())
-    for (configstream::Effect& e : effects) std::visit([this](auto& x) { carry_out(x); }, e);
+    for (config_stream::Effect& e : effects) std::visit([this](auto& x) { carry_out(x); }, e);
   if (timer_) reactor_.cancel(*timer_);
   timer_.reset();
   if (client_.next_due() < base::kNever)
@@ -186,7 +186,7 @@
 
 // ---- The stream ----
 
-void ConfigFeed::carry_out(configstream::Dial& e) {
+void ConfigFeed::carry_out(config_stream::Dial& e) {
   std::uint64_t number = ++stream_number_;
   auto mine = [this, alive = alive_, number] { return *alive && number == stream_number_; };
   stream_ = net::Connection::dial(reactor_, control_.services[e.endpoint], from_,
@@ -209,17 +209,17 @@
                     soon();
                   }});
 }
-void ConfigFeed::carry_out(configstream::Send& e) {
+void ConfigFeed::carry_out(config_stream::Send& e) {
   if (stream_) stream_->send(std::move(e.bytes));
 }
-void ConfigFeed::carry_out(configstream::HangUp&) {
+void ConfigFeed::carry_out(config_stream::HangUp&) {
   ++stream_number_;
   if (auto stream = std::exchange(stream_, nullptr)) stream->close_after_sending();
 }
 
 // ---- The gate ----
 
-void ConfigFeed::carry_out(configstream::Check& e) {
+void ConfigFeed::carry_out(config_stream::Check& e) {
   struct Job {
     Version candidate;
     std::vector<config::Source> files;
@@ -309,7 +309,7 @@
   if (!taken && done) done("the disk is behind");
 }
 
-void ConfigFeed::carry_out(configstream::Keep& e) {
+void ConfigFeed::carry_out(config_stream::Keep& e) {
   keep_record({.kind = Record::Kind::accepted,
                .number = e.candidate.number,
                .hash = e.candidate.hash,
@@ -321,7 +321,7 @@
               });
 }
 
-void ConfigFeed::carry_out(configstream::Told& e) {
+void ConfigFeed::carry_out(config_stream::Told& e) {
   bool bad = e.event == "config_refused" || e.event == "config_reverted";
   host_.say(bad ? log::Level::warning : log::Level::info, e.event,
             {{"version", std::to_string(e.number)},
@@ -355,7 +355,7 @@
   return nullptr;
 }
 
-void ConfigFeed::carry_out(configstream::Apply& e) {
+void ConfigFeed::carry_out(config_stream::Apply& e) {
   std::string why;
   std::shared_ptr<const Site> site =
       passed_ && passed_->hash == e.version.hash ? passed_->site : site_of(e.version, why);
@@ -437,7 +437,7 @@
       on_trial_ = false;
       last_good_ = *found;
       soon();
-      std::vector<Record> records = configstream::rollback(before, *found);
+      std::vector<Record> records = config_stream::rollback(before, *found);
       for (Record& r : records) {
         r.cause = "by a person";
         keep_record(r, r.kind == records.back().kind ? done : Done());
@@ -475,7 +475,7 @@
 }
 
 std::string ConfigFeed::status_json() const {
-  const configstream::ClientCounters& c = client_.counters();
+  const config_stream::ClientCounters& c = client_.counters();
   nlohmann::json out{{"version", client_.in_force().number},
                      {"hash", fmt::format("{:016x}", client_.in_force().hash)},
                      {"last_good", last_good_.number},
@@ -496,7 +496,7 @@
 }
 
 void ConfigFeed::fill(telemetry::Figures& figures) const {
-  const configstream::ClientCounters& c = client_.counters();
+  const config_stream::ClientCounters& c = client_.counters();
   figures.config_version = static_cast<double>(client_.in_force().number);
   figures.config_streaming = client_.streaming();
   figures.config_acked = c.acked, figures.config_nacked = c.nacked;
--- a/src/assigner/config_feed.h
+++ b/src/assigner/config_feed.h
@@ -1,5 +1,5 @@
-// Streamed settings on sockets and disk: moves bytes for configstream::Client, versions to the disk's thread
-// and candidates to the gate's, and says when a version is to run. What is decided is in configstream,
+// Streamed settings on sockets and disk: moves bytes for config_stream::Client, versions to the disk's thread
+// and candidates to the gate's, and says when a version is to run. What is decided is in config_stream,
 // streamed and watch.
 #pragma once
 
@@ -12,8 +12,8 @@
 #include "assigner/streamed.h"
 #include "assigner/watch.h"
 #include "base/worker.h"
-#include "configstream/client.h"
-#include "configstream/store.h"
+#include "config_stream/client.h"
+#include "config_stream/store.h"
 #include "log/log.h"
 #include "net/connection.h"
 
@@ -22,9 +22,9 @@
 // What an assigner begins with: the last good version on disk, else its files alone, else nothing.
 struct Beginning {
   Site site;
-  configstream::Version version;                   // number 0: the files alone
-  std::optional<configstream::Version> abandoned;  // ended its process in its trial: gives way to `version`
-  std::vector<std::string> notes;                  // what could not be used, and why
+  config_stream::Version version;                   // number 0: the files alone
+  std::optional<config_stream::Version> abandoned;  // ended its process in its trial: gives way to `version`
+  std::vector<std::string> notes;                   // what could not be used, and why
 };
 // Throws std::runtime_error with all reasons if nothing can be run.
 Beginning begin(const std::vector<config::Source>& files);
@@ -37,7 +37,7 @@
     std::function<const Site&()> site;  // that runs
     std::function<telemetry::Figures()> figures;
     std::function<bool(const Site&)> may_apply;
-    std::function<void(const Site&, const configstream::Version&)> apply;
+    std::function<void(const Site&, const config_stream::Version&)> apply;
     std::function<void(log::Level, const std::string& event, const log::Fields&)> say;
   };
   using Done = std::function<void(const std::string& failure)>;  // empty: it is done, and on disk
@@ -62,20 +62,20 @@
   };
   void soon();
   void turn();
-  void carry_out(configstream::Dial& e);
-  void carry_out(configstream::Send& e);
-  void carry_out(configstream::HangUp& e);
-  void carry_out(configstream::Check& e);
-  void carry_out(configstream::Keep& e);
-  void carry_out(configstream::Apply& e);
-  void carry_out(configstream::Told& e);
-  void judged(std::uint64_t ticket, std::vector<configstream::Reason> reasons,
+  void carry_out(config_stream::Dial& e);
+  void carry_out(config_stream::Send& e);
+  void carry_out(config_stream::HangUp& e);
+  void carry_out(config_stream::Check& e);
+  void carry_out(config_stream::Keep& e);
+  void carry_out(config_stream::Apply& e);
+  void carry_out(config_stream::Told& e);
+  void judged(std::uint64_t ticket, std::vector<config_stream::Reason> reasons,
               std::shared_ptr<const Site> site, std::uint64_t hash, Ms begun);
   void let_through(std::uint64_t ticket, std::shared_ptr<const Site> site, std::uint64_t hash, Ms limit);
   void try_to_apply();
   void look();
-  void keep_record(configstream::Record record, Done done);
-  std::shared_ptr<const Site> site_of(const configstream::Version& version, std::string& why) const;
+  void keep_record(config_stream::Record record, Done done);
+  std::shared_ptr<const Site> site_of(const config_stream::Version& version, std::string& why) const;
 
   net::Reactor& reactor_;
   std::vector<config::Source> files_;
@@ -83,12 +83,12 @@
   net::Address from_{};
   std::shared_ptr<const Gate> gate_;
   Host host_;
-  std::shared_ptr<configstream::Store> store_;  // the disk thread's, but for the constructor
-  configstream::Client client_;
-  configstream::Version last_good_;  // number 0: the files alone
+  std::shared_ptr<config_stream::Store> store_;  // the disk thread's, but for the constructor
+  config_stream::Client client_;
+  config_stream::Version last_good_;  // number 0: the files alone
   std::optional<Passed> passed_;
   struct ToApply {
-    configstream::Version version;
+    config_stream::Version version;
     std::shared_ptr<const Site> site;
   };
   std::optional<ToApply> to_apply_;
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -7,8 +7,8 @@
 #include <nlohmann/json.hpp>
 
 #include "base/enums.h"
-#include "record/policy_fields.h"
-#include "record/record.h"
+#include "flight_record/codec.h"
+#include "flight_record/flight_record.h"
 
 namespace beamshunt::assigner {
 namespace {
@@ -45,7 +45,7 @@
   next_release_ = list_heard_ = now;
   wall_less_now_ = wall_now - now;
   for (auto& [instance, address] : site_.peers) dial_at_[instance] = now;
-  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::opening(site_.policy)});
+  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{flight_record::opening(site_.policy)});
   if (warm) book_ = std::move(*warm);
   // As on the bench, the first event is the warm copy, be it empty: the module asks for the list itself.
   tell(EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_now)});
@@ -533,7 +533,7 @@
   std::vector<Action> actions = module.controller.handle(at(now), events);
   counters_.events += events.size();
   if (!site_.record_file.empty())
-    effects_.push_back(AppendRecord{record::batch(at(now), events, actions, number)});
+    effects_.push_back(AppendRecord{flight_record::batch(at(now), events, actions, number)});
   act(now, number, module, actions);
   send_messages(now, number);
 }
@@ -592,7 +592,8 @@
   bool told = site_.heartbeat != next.heartbeat || site_.policy.report_period != next.policy.report_period;
   site_ = next;
   intake_.pace(site_.report_lines_per_s);
-  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::applied(at(now), version, hash)});
+  if (!site_.record_file.empty())
+    effects_.push_back(AppendRecord{flight_record::applied(at(now), version, hash)});
   log(log::Level::info, "config_applied",
       {{"version", std::to_string(version)}, {"fresh_module", fresh ? "yes" : "no"}});
   for (auto s = streams_.begin(); s != streams_.end(); ++s) {
@@ -609,7 +610,8 @@
   if (!fresh) return;
   std::uint32_t number = modules_.rbegin()->first + 1;
   Module& module = modules_.emplace(number, site_.policy).first->second;
-  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::opening(site_.policy, number)});
+  if (!site_.record_file.empty())
+    effects_.push_back(AppendRecord{flight_record::opening(site_.policy, number)});
   // Known instants of starts are kept as they are: no wall clock is needed, none of these is new.
   module.pending.push_back(
       EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_less_now_ + now)});
--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -322,12 +322,12 @@
             [this] { return core_.fleet(reactor_.now()); }, [this]() -> const Site& { return site_; },
             [this] { return core_.figures(reactor_.now()); },
             [this](const Site& next) { return core_.may_reconfigure(next, reactor_.now()); },
-            [this](const Site& next, const configstream::Version& version) { apply(next, version); },
+            [this](const Site& next, const config_stream::Version& version) { apply(next, version); },
             [this](log::Level level, const std::string& event, const log::Fields& fields) {
               log_.write(level, event, fields);
             }});
   }
-  void apply(const Site& next, const configstream::Version& version) {
+  void apply(const Site& next, const config_stream::Version& version) {
     bool writes_otherwise = site_.remote_write != next.remote_write;
     core_.reconfigure(next, version.number, version.hash, reactor_.now());
     site_ = next;
--- a/src/assigner/streamed.cpp
+++ b/src/assigner/streamed.cpp
@@ -8,7 +8,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using configstream::Reason;
+using config_stream::Reason;
 
 bool within(std::string_view path, std::string_view prefix) {
   return path.starts_with(prefix) &&
@@ -67,7 +67,7 @@
   return kTypes;
 }
 
-Composed compose(const std::vector<config::Source>& files, const configstream::Resources& resources) {
+Composed compose(const std::vector<config::Source>& files, const config_stream::Resources& resources) {
   Composed out;
   std::vector<config::Source> over;
   auto refuse = [&](const char* rule, std::string path, std::string reason) {
--- a/src/assigner/streamed.h
+++ b/src/assigner/streamed.h
@@ -10,7 +10,7 @@
 
 #include "assigner/core.h"
 #include "assigner/site.h"
-#include "configstream/wire.h"
+#include "config_stream/wire.h"
 
 namespace beamshunt::assigner {
 
@@ -36,22 +36,22 @@
 // read, gives what its type may not, or the whole is not sound.
 struct Composed {
   std::optional<Site> site;
-  std::vector<configstream::Reason> reasons;
+  std::vector<config_stream::Reason> reasons;
 };
-Composed compose(const std::vector<config::Source>& files, const configstream::Resources& resources);
+Composed compose(const std::vector<config::Source>& files, const config_stream::Resources& resources);
 
 // What can't be changed while this fleet is joined, whoever asks for it: positions that proxies and lists go
 // by.
-std::vector<configstream::Reason> unapplicable(const Site& now, const Site& next, const Fleet& fleet);
+std::vector<config_stream::Reason> unapplicable(const Site& now, const Site& next, const Fleet& fleet);
 
 // Judges a version before it is taken. Called off the loop, on a thread of its own. No reasons: it passes.
 struct Candidate {
   const Site& now;
   const Site& next;
   const Fleet& fleet;
-  const configstream::Resources& resources;
+  const config_stream::Resources& resources;
   const std::vector<std::string>& changed;  // paths that differ in text from what runs
 };
-using Gate = std::function<std::vector<configstream::Reason>(const Candidate& candidate)>;
+using Gate = std::function<std::vector<config_stream::Reason>(const Candidate& candidate)>;
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/watch.h
+++ b/src/assigner/watch.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "configstream/wire.h"
+#include "config_stream/wire.h"
 #include "telemetry/figures.h"
 
 namespace beamshunt::assigner {
@@ -44,7 +44,7 @@
   Watch(Limits limits, std::optional<double> before, const std::array<double, 5>& margins, Ms now)
       : limits_(limits), before_(before), margins_(margins), begun_(now), served_(limits.least_requests) {}
   State look(const telemetry::Figures& figures, Ms now);
-  const std::vector<configstream::Reason>& evidence() const { return evidence_; }
+  const std::vector<config_stream::Reason>& evidence() const { return evidence_; }
 
  private:
   Limits limits_;
@@ -54,7 +54,7 @@
   ServedPart served_;
   std::array<int, 5> over_{};  // looks in a row with a rule over its limit
   int low_ = 0;                // looks in a row with the service down
-  std::vector<configstream::Reason> evidence_;
+  std::vector<config_stream::Reason> evidence_;
 };
 
 }  // namespace beamshunt::assigner
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -24,10 +24,10 @@
 #include "emulator/swarm.h"
 #include "experiment/report.h"
 #include "experiment/runner.h"
+#include "flight_record/flight_record.h"
 #include "gate/gate.h"
 #include "load/load.h"
 #include "measure/measure.h"
-#include "record/record.h"
 #include "standin/control.h"
 #include "standin/list.h"
 #include "standin/proxy.h"
@@ -124,12 +124,12 @@
 namespace {
 
 assigner::Beginning beginning_of(const VersionArguments& a) { return assigner::begin(read_sources(a.files)); }
-std::unique_ptr<configstream::Disk> versions_of(const assigner::Beginning& beginning) {
+std::unique_ptr<config_stream::Disk> versions_of(const assigner::Beginning& beginning) {
   if (!beginning.site.control) throw std::runtime_error("these settings name no control service");
-  return configstream::folder_disk(assigner::config_folder(beginning.site.state_folder));
+  return config_stream::folder_disk(assigner::config_folder(beginning.site.state_folder));
 }
-const configstream::Version& known(const configstream::Ledger& ledger, std::uint64_t number) {
-  const configstream::Version* v = ledger.version(number);
+const config_stream::Version& known(const config_stream::Ledger& ledger, std::uint64_t number) {
+  const config_stream::Version* v = ledger.version(number);
   if (!v) throw std::runtime_error(fmt::format("there is no version {} on disk", number));
   return *v;
 }
@@ -138,13 +138,13 @@
 // written here.
 int change_versions(
     const VersionArguments& a, const std::string& target,
-    const std::function<std::vector<configstream::Record>(const configstream::Ledger&)>& records) {
+    const std::function<std::vector<config_stream::Record>(const config_stream::Ledger&)>& records) {
   assigner::Beginning beginning = beginning_of(a);
-  auto disk = std::shared_ptr<configstream::Disk>(versions_of(beginning));
+  auto disk = std::shared_ptr<config_stream::Disk>(versions_of(beginning));
   const std::string& state = beginning.site.state_folder;
   if (auto lock = assigner::lock_state(state)) {
-    configstream::Store store(disk);
-    for (configstream::Record& r : records(store.ledger())) {
+    config_stream::Store store(disk);
+    for (config_stream::Record& r : records(store.ledger())) {
       r.wall_ms = static_cast<std::int64_t>(base::wall_ms());
       r.cause = "by a person, with no assigner running";
       store.add(r);
@@ -173,19 +173,19 @@
 
 int config_history(const VersionArguments& a) {
   auto disk = versions_of(beginning_of(a));
-  configstream::Ledger ledger = configstream::Store::look(*disk);
-  for (const configstream::Record& r : ledger.records()) {
+  config_stream::Ledger ledger = config_stream::Store::look(*disk);
+  for (const config_stream::Record& r : ledger.records()) {
     std::time_t seconds = static_cast<std::time_t>(r.wall_ms / 1000);
     fmt::print("{:%Y-%m-%d %H:%M:%S}  version {} ({:016x}) {}", fmt::gmtime(seconds), r.number, r.hash,
-               configstream::kind_name(r.kind));
+               config_stream::kind_name(r.kind));
     bool back =
-        r.kind == configstream::Record::Kind::reverted || r.kind == configstream::Record::Kind::rolled_back;
+        r.kind == config_stream::Record::Kind::reverted || r.kind == config_stream::Record::Kind::rolled_back;
     if (back) fmt::print(" to {}", r.to_number == 0 ? "the files" : std::to_string(r.to_number));
     fmt::print("{}\n", r.cause.empty() ? "" : ", " + r.cause);
-    for (const configstream::Reason& reason : r.reasons)
-      fmt::print("    {}\n", configstream::to_string(reason));
+    for (const config_stream::Reason& reason : r.reasons)
+      fmt::print("    {}\n", config_stream::to_string(reason));
   }
-  auto number = [](const configstream::Version* v) { return v ? std::to_string(v->number) : "none"; };
+  auto number = [](const config_stream::Version* v) { return v ? std::to_string(v->number) : "none"; };
   fmt::print("in force: {}; last good: {}; pinned: {}\n", number(ledger.in_force()),
              number(ledger.confirmed()), ledger.pinned() ? std::to_string(*ledger.pinned()) : "none");
   return kWell;
@@ -193,11 +193,11 @@
 
 int config_diff(const VersionArguments& a) {
   auto disk = versions_of(beginning_of(a));
-  configstream::Ledger ledger = configstream::Store::look(*disk);
+  config_stream::Ledger ledger = config_stream::Store::look(*disk);
   std::vector<config::Source> files = read_sources(a.files);
   std::map<std::string, std::string> values[2];
   for (int side : {0, 1}) {
-    const configstream::Version& v = known(ledger, side == 0 ? a.from : a.to);
+    const config_stream::Version& v = known(ledger, side == 0 ? a.from : a.to);
     std::vector<config::Source> over;
     for (auto& [key, resource] : v.resources) {
       if (key.type == assigner::kAlertsType) values[side][key.type + "/" + key.name] = resource.body;
@@ -220,36 +220,35 @@
 
 int config_rollback(const VersionArguments& a) {
   return change_versions(
-      a, fmt::format("/v1/config/rollback?version={}", a.to), [&](const configstream::Ledger& ledger) {
-        const configstream::Version* now = ledger.in_force();
-        return configstream::rollback(now ? *now : configstream::Version{}, known(ledger, a.to));
+      a, fmt::format("/v1/config/rollback?version={}", a.to), [&](const config_stream::Ledger& ledger) {
+        const config_stream::Version* now = ledger.in_force();
+        return config_stream::rollback(now ? *now : config_stream::Version{}, known(ledger, a.to));
       });
 }
 
 int config_forgive(const VersionArguments& a) {
-  return change_versions(a, fmt::format("/v1/config/forgive?version={}", a.to),
-                         [&](const configstream::Ledger& ledger) {
-                           auto hash = ledger.hash_gone_back(a.to);
-                           if (!hash)
-                             throw std::runtime_error(fmt::format("version {} never went back", a.to));
-                           return std::vector<configstream::Record>{
-                               {.kind = configstream::Record::Kind::forgiven, .number = a.to, .hash = *hash}};
-                         });
+  return change_versions(
+      a, fmt::format("/v1/config/forgive?version={}", a.to), [&](const config_stream::Ledger& ledger) {
+        auto hash = ledger.hash_gone_back(a.to);
+        if (!hash) throw std::runtime_error(fmt::format("version {} never went back", a.to));
+        return std::vector<config_stream::Record>{
+            {.kind = config_stream::Record::Kind::forgiven, .number = a.to, .hash = *hash}};
+      });
 }
 
 int config_pin(const VersionArguments& a, bool pinned) {
   return change_versions(
-      a, pinned ? "/v1/config/pin" : "/v1/config/unpin", [&](const configstream::Ledger& ledger) {
-        const configstream::Version* now = ledger.in_force();
+      a, pinned ? "/v1/config/pin" : "/v1/config/unpin", [&](const config_stream::Ledger& ledger) {
+        const config_stream::Version* now = ledger.in_force();
         if (!now) throw std::runtime_error("no streamed version is in force");
-        using Kind = configstream::Record::Kind;
-        return std::vector<configstream::Record>{
+        using Kind = config_stream::Record::Kind;
+        return std::vector<config_stream::Record>{
             {.kind = pinned ? Kind::pinned : Kind::unpinned, .number = now->number, .hash = now->hash}};
       });
 }
 
 int config_gate(const VersionArguments& a, const std::vector<std::string>& given) {
-  configstream::Resources resources;
+  config_stream::Resources resources;
   for (const std::string& text : given) {
     auto [type, file] = type_and_file(text);
     resources[{type, file}] = {1, read_source(file).text};
@@ -257,16 +256,16 @@
   std::vector<config::Source> files = read_sources(a.files);
   assigner::Site now = assigner::load_site(files);
   assigner::Composed c = assigner::compose(files, resources);
-  std::vector<configstream::Reason> reasons = c.reasons;
+  std::vector<config_stream::Reason> reasons = c.reasons;
   assigner::Fleet nobody;
   if (c.site) reasons = gate::judge({now, *c.site, nobody, resources, {}});
-  for (const configstream::Reason& r : reasons) fmt::print("{}\n", configstream::to_string(r));
+  for (const config_stream::Reason& r : reasons) fmt::print("{}\n", config_stream::to_string(r));
   if (reasons.empty()) fmt::print("it would pass, as far as can be said without a fleet\n");
   return reasons.empty() ? kWell : kBroken;
 }
 
 int replay(const std::string& file) {
-  record::Replay r = record::replay(read_source(file).text);
+  flight_record::Replay r = flight_record::replay(read_source(file).text);
   if (r.torn_bytes > 0) fmt::print("a torn tail of {} bytes at {} is left out\n", r.torn_bytes, r.torn_at);
   fmt::print("{} runs, {} take-overs, {} versions, {} batches, {} events, {} actions\n", r.runs, r.takeovers,
              r.versions, r.batches, r.events, r.actions);
@@ -600,7 +599,7 @@
   standin::World world;
   set_up(world, a);
   standin::ControlService service(world, address(a.address, "--address"), a.origin);
-  std::vector<std::map<configstream::Key, std::string>> versions;
+  std::vector<std::map<config_stream::Key, std::string>> versions;
   for (const std::string& offer : a.offers) {
     auto [type, file] = type_and_file(offer);
     versions.push_back({{{type, "site"}, read_source(file).text}});
@@ -614,10 +613,11 @@
     }
     for (; printed < service.answers().size(); ++printed) {
       constexpr const char* kVerdicts[] = {"ack", "nack", "superseded", "resync", "reverted"};
-      const configstream::Answer& answer = service.answers()[printed].answer;
+      const config_stream::Answer& answer = service.answers()[printed].answer;
       fmt::print("assigner {}: version {} {}, {} in force\n", service.answers()[printed].instance,
                  answer.number, kVerdicts[static_cast<std::size_t>(answer.verdict)], answer.in_force);
-      for (const configstream::Reason& r : answer.reasons) fmt::print("    {}\n", configstream::to_string(r));
+      for (const config_stream::Reason& r : answer.reasons)
+        fmt::print("    {}\n", config_stream::to_string(r));
       std::fflush(stdout);
     }
     world.reactor.at(world.now() + 20, step);
--- a/src/configstream/client.cpp
+++ b/src/config_stream/client.cpp
@@ -1,10 +1,10 @@
-#include "configstream/client.h"
+#include "config_stream/client.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 namespace {
 
 using channel::RefuseCode;
@@ -313,4 +313,4 @@
   return arriving_ ? std::min(due, arriving_->begun + o_.deliver_within) : due;
 }
 
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/src/configstream/client.h
+++ b/src/config_stream/client.h
@@ -15,9 +15,9 @@
 #include <vector>
 
 #include "base/time.h"
-#include "configstream/wire.h"
+#include "config_stream/wire.h"
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 
 using base::Ms;
 
@@ -145,4 +145,4 @@
   ClientCounters counters_;
 };
 
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/src/configstream/store.cpp
+++ b/src/config_stream/store.cpp
@@ -1,4 +1,4 @@
-#include "configstream/store.h"
+#include "config_stream/store.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -16,7 +16,7 @@
 #include "base/archive.h"
 #include "base/file.h"
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 
 template <class A>
 void fields(A& a, Record& x) {
@@ -302,4 +302,4 @@
   }
 }
 
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/src/configstream/store.h
+++ b/src/config_stream/store.h
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "configstream/wire.h"
+#include "config_stream/wire.h"
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 
 struct Record {
   enum class Kind : std::uint8_t {
@@ -117,4 +117,4 @@
   std::size_t size_ = 0, cut_bytes_ = 0;
 };
 
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/src/configstream/wire.cpp
+++ b/src/config_stream/wire.cpp
@@ -1,10 +1,10 @@
-#include "configstream/wire.h"
+#include "config_stream/wire.h"
 
 #include <xxhash.h>
 
 #include "base/archive.h"
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 // Found by argument-dependent lookup, hence not in the unnamed namespace.
 template <class A>
 void fields(A& a, Subscribe& x) {
@@ -69,4 +69,4 @@
   }
 }
 
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/src/configstream/wire.h
+++ b/src/config_stream/wire.h
@@ -15,7 +15,7 @@
 
 #include "channel/frames.h"
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 
 constexpr std::uint32_t kMagic = 0x42534346;  // "BSCF"
 constexpr std::uint16_t kVersion = 1;
@@ -121,4 +121,4 @@
   a(x.rule, x.path, x.reason, x.would_do);
 }
 
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/src/day/versions.cpp
+++ b/src/day/versions.cpp
@@ -7,8 +7,8 @@
 namespace beamshunt::day {
 namespace {
 
-using configstream::Key;
-using configstream::Verdict;
+using config_stream::Key;
+using config_stream::Verdict;
 
 constexpr const char* kOrigin = "day";
 const Key kLimits{"limits", "site"}, kSettings{"settings", "site"}, kExtra{"limits", "extra"};
@@ -131,7 +131,7 @@
   for (auto& service : services_) {
     bool first = service == services_.front();
     for (auto& a : service->answers()) {
-      const configstream::Answer& answer = a.answer;
+      const config_stream::Answer& answer = a.answer;
       out.answer_times.push_back(a.took);
       out.taken += answer.verdict == Verdict::ack, out.refused += answer.verdict == Verdict::nack;
       out.superseded += answer.verdict == Verdict::superseded;
@@ -148,7 +148,7 @@
       if (answer.verdict != Verdict::nack) continue;
       if (bad) ++refused[answer.number];
       for (auto& r : answer.reasons) {
-        out.refusals.push_back(fmt::format("version {}: {}", answer.number, configstream::to_string(r)));
+        out.refusals.push_back(fmt::format("version {}: {}", answer.number, config_stream::to_string(r)));
         bool place = r.rule == "order" || r.rule == "watch" || r.rule == "rollback" || r.rule == "bounds";
         if (first && !bad && !place)
           out.wrong.push_back(fmt::format("version {} was refused: {}", answer.number, to_string(r)));
--- a/src/day/versions.h
+++ b/src/day/versions.h
@@ -29,8 +29,8 @@
   VersionsResult result() const;
 
  private:
-  std::map<configstream::Key, std::string> good();
-  void tell_bad(const std::map<configstream::Key, std::string>& changed);
+  std::map<config_stream::Key, std::string> good();
+  void tell_bad(const std::map<config_stream::Key, std::string>& changed);
 
   standin::World& world_;
   std::vector<std::unique_ptr<standin::ControlService>> services_;  // the second one has a mind of its own
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -13,7 +13,7 @@
 #include "audit/sabotage.h"
 #include "day/script.h"
 #include "emulator/engine.h"
-#include "record/record.h"
+#include "flight_record/flight_record.h"
 #include "standin/list.h"
 #include "standin/proxy_model.h"
 #include "standin/server_model.h"
@@ -901,7 +901,7 @@
     out_.longest_decision = longest_;
     if (options_.replay)
       for (auto& [instance, a] : assigners_)
-        if (auto replay = record::replay(a.record); !replay.same())
+        if (auto replay = flight_record::replay(a.record); !replay.same())
           out_.differences.push_back(fmt::format("assigner {}: {}", instance, replay.difference));
     return std::move(out_);
   }
--- a/src/record/record.cpp
+++ b/src/flight_record/flight_record.cpp
@@ -1,4 +1,4 @@
-#include "record/record.h"
+#include "flight_record/flight_record.h"
 
 #include <fmt/format.h>
 
@@ -9,9 +9,9 @@
 #include "base/archive.h"
 #include "base/enums.h"
 #include "base/file.h"
-#include "record/policy_fields.h"
+#include "flight_record/codec.h"
 
-namespace beamshunt::record {
+namespace beamshunt::flight_record {
 namespace {
 
 using base::raw;
@@ -163,4 +163,4 @@
   return out;
 }
 
-}  // namespace beamshunt::record
+}  // namespace beamshunt::flight_record
--- a/src/record/record.h
+++ b/src/flight_record/flight_record.h
@@ -10,7 +10,7 @@
 
 #include "policy/controller.h"
 
-namespace beamshunt::record {
+namespace beamshunt::flight_record {
 
 // Sealed records to append to the file, in this order: one opening of module 0, then any number of batches
 // and further openings: a module of a higher number takes the place of the one before it, and until it has,
@@ -36,4 +36,4 @@
 // One action as text, for people.
 std::string describe(const Action& action);
 
-}  // namespace beamshunt::record
+}  // namespace beamshunt::flight_record
--- a/src/gate/gate.cpp
+++ b/src/gate/gate.cpp
@@ -15,7 +15,7 @@
 constexpr double kServiceDrop = 0.1;  // of the rehearsal's served part, at each of some seeds: less is chance
 constexpr std::uint64_t kSeeds = 3;
 
-std::vector<Reason> judge_alerts(const configstream::Resources& resources) {
+std::vector<Reason> judge_alerts(const config_stream::Resources& resources) {
   std::vector<Reason> out;
   for (auto& [key, resource] : resources) {
     if (key.type != assigner::kAlertsType) continue;
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -7,6 +7,6 @@
 namespace beamshunt::gate {
 
 // For assigner::serve(): alerts resources, proofs, and the shadow as `control` of the present site sets it.
-std::vector<configstream::Reason> judge(const assigner::Candidate& candidate);
+std::vector<config_stream::Reason> judge(const assigner::Candidate& candidate);
 
 }  // namespace beamshunt::gate
--- a/src/gate/prove.h
+++ b/src/gate/prove.h
@@ -10,7 +10,7 @@
 
 using assigner::Fleet;
 using assigner::Site;
-using configstream::Reason;
+using config_stream::Reason;
 
 // Faults that `now` has as well, in the same figures, are not the change's and left out.
 std::vector<Reason> prove(const Site& now, const Site& next, const Fleet& fleet);
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -378,9 +378,9 @@
     }
     std::vector<double> took, lag;
     for (auto& a : service.answers()) {
-      if (a.answer.verdict != configstream::Verdict::ack)
+      if (a.answer.verdict != config_stream::Verdict::ack)
         throw std::runtime_error("a sound version was not taken: " +
-                                 configstream::to_string(a.answer.reasons.at(0)));
+                                 config_stream::to_string(a.answer.reasons.at(0)));
       took.push_back(a.took);
       next_version_ = a.answer.number + 1;
     }
--- a/src/standin/control.cpp
+++ b/src/standin/control.cpp
@@ -5,7 +5,7 @@
 namespace beamshunt::standin {
 namespace {
 
-using namespace configstream;
+using namespace config_stream;
 
 constexpr Ms kBeat = 300;
 constexpr Ms kEndlessEvery = 20;
@@ -56,7 +56,7 @@
 
 void ControlService::beat() {
   for (auto& [id, peer] : peers_)
-    if (peer.subscribed) peer.connection->send(configstream::encode(Ping{1}));
+    if (peer.subscribed) peer.connection->send(config_stream::encode(Ping{1}));
   world_.reactor.at(world_.now() + kBeat, [this, alive = alive_] {
     if (*alive) beat();
   });
@@ -89,7 +89,7 @@
           tell(peer, current_, 0);
         }
       } else if (auto* ping = std::get_if<Ping>(&*frame)) {
-        peer.connection->send(configstream::encode(Pong{ping->token}));
+        peer.connection->send(config_stream::encode(Pong{ping->token}));
       } else if (std::get_if<Refuse>(&*frame)) {
         peer.connection->close();
         peers_.erase(id);
--- a/src/standin/control.h
+++ b/src/standin/control.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "configstream/wire.h"
+#include "config_stream/wire.h"
 #include "net/connection.h"
 #include "standin/world.h"
 
@@ -18,7 +18,7 @@
   struct Answered {
     Ms at = 0, took = 0;  // from the last byte of the delivery
     std::uint32_t instance = 0;
-    configstream::Answer answer;
+    config_stream::Answer answer;
   };
   struct Heard {  // a subscription: what the assigner says that it holds
     Ms at = 0;
@@ -30,9 +30,9 @@
   ~ControlService();
 
   // The next version: these resources changed; it becomes current and goes to all subscribers.
-  std::uint64_t publish(const std::map<configstream::Key, std::string>& changed);
+  std::uint64_t publish(const std::map<config_stream::Key, std::string>& changed);
   // A version that is told to all and never becomes current: the next one is a change of what was before it.
-  std::uint64_t offer(const std::map<configstream::Key, std::string>& changed);
+  std::uint64_t offer(const std::map<config_stream::Key, std::string>& changed);
   void repeat();                 // tells the current one again, as a snapshot
   void older();                  // tells the first version there was, under its old number
   void contradict();             // tells other content under the current number
@@ -51,7 +51,7 @@
  private:
   struct Peer {
     std::shared_ptr<net::Connection> connection;
-    configstream::FrameParser parser{1 << 20};
+    config_stream::FrameParser parser{1 << 20};
     std::uint32_t instance = 0;
     bool subscribed = false;
     std::uint64_t delivered = 0;       // the last number told on this stream, if it was told in order
@@ -60,13 +60,13 @@
   void open();
   void accept(std::shared_ptr<net::Connection> connection);
   void came(std::uint64_t id, std::string_view bytes);
-  void tell(Peer& peer, const configstream::Version& version, std::uint64_t base);
-  void tell_all(const configstream::Version& version);
-  void send(Peer& peer, const configstream::Delivery& delivery);
-  configstream::Version next_version(const std::map<configstream::Key, std::string>& changed);
-  configstream::Delivery whole(const configstream::Version& version) const;
+  void tell(Peer& peer, const config_stream::Version& version, std::uint64_t base);
+  void tell_all(const config_stream::Version& version);
+  void send(Peer& peer, const config_stream::Delivery& delivery);
+  config_stream::Version next_version(const std::map<config_stream::Key, std::string>& changed);
+  config_stream::Delivery whole(const config_stream::Version& version) const;
   void beat();
-  void endless_part(std::uint64_t peer, configstream::Delivery delivery);
+  void endless_part(std::uint64_t peer, config_stream::Delivery delivery);
 
   World& world_;
   net::Address at_;
@@ -74,8 +74,8 @@
   std::unique_ptr<net::Listener> listener_;
   std::map<std::uint64_t, Peer> peers_;
   std::uint64_t last_peer_ = 0, nonce_ = 0, next_ = 1;
-  std::map<std::uint64_t, configstream::Version> versions_;  // by number
-  configstream::Version current_;
+  std::map<std::uint64_t, config_stream::Version> versions_;  // by number
+  config_stream::Version current_;
   std::size_t cut_after_ = 0;
   std::vector<Answered> answers_;
   std::vector<Heard> heard_;
--- a/tests/assigner/streamed_test.cpp
+++ b/tests/assigner/streamed_test.cpp
@@ -4,12 +4,12 @@
 #include <gtest/gtest.h>
 
 #include "assigner/rig.h"
-#include "record/record.h"
+#include "flight_record/flight_record.h"
 
 namespace beamshunt::assigner::test {
 namespace {
 
-using configstream::Resources;
+using config_stream::Resources;
 
 const std::vector<config::Source> kFiles{{"site.cue", kSite}};
 
@@ -201,7 +201,7 @@
     for (auto& [c, table] : held[id].of_class) EXPECT_GE(table, 1u << 16) << "still on a former table";
     EXPECT_TRUE(held[id].has(2));
   }
-  record::Replay replay = record::replay(rig.record);
+  flight_record::Replay replay = flight_record::replay(rig.record);
   EXPECT_TRUE(replay.same()) << replay.difference;
   EXPECT_EQ(replay.takeovers, 1u);
   EXPECT_EQ(replay.versions, 1u);
@@ -223,7 +223,7 @@
   for (StreamId id : streams) EXPECT_FALSE(held[id].has(2));
   for (StreamId id : streams) EXPECT_FALSE(held[id].ever_empty);
   EXPECT_FALSE(rig.core.taking_over());
-  EXPECT_TRUE(record::replay(rig.record).same());
+  EXPECT_TRUE(flight_record::replay(rig.record).same());
 }
 
 TEST_F(Takeover, MessagesAndLinesOfBothModulesTogetherKeepTheLimits) {
@@ -270,7 +270,7 @@
     EXPECT_TRUE(held[id].has(4));
     EXPECT_FALSE(held[id].ever_empty);
   }
-  EXPECT_TRUE(record::replay(rig.record).same());
+  EXPECT_TRUE(flight_record::replay(rig.record).same());
 }
 
 TEST_F(Takeover, HeartbeatAndPeriodAreToldToThoseThatAreJoined) {
--- a/tests/configstream/client_test.cpp
+++ b/tests/config_stream/client_test.cpp
@@ -1,11 +1,11 @@
-#include "configstream/client.h"
+#include "config_stream/client.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
 #include <map>
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 namespace {
 
 Version version(std::uint64_t number, const std::string& body, const std::string& more = {}) {
@@ -467,4 +467,4 @@
 }
 
 }  // namespace
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/tests/configstream/store_test.cpp
+++ b/tests/config_stream/store_test.cpp
@@ -1,4 +1,4 @@
-#include "configstream/store.h"
+#include "config_stream/store.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 #include <map>
 #include <stdexcept>
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 namespace {
 
 struct Killed {};
@@ -250,4 +250,4 @@
 }
 
 }  // namespace
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/tests/record/record_test.cpp
+++ b/tests/flight_record/flight_record_test.cpp
@@ -1,11 +1,11 @@
 // The flight record: the same decisions, the first other one, torn tails.
-#include "record/record.h"
+#include "flight_record/flight_record.h"
 
 #include <gtest/gtest.h>
 
 #include "policy/fleet.h"
 
-namespace beamshunt::record {
+namespace beamshunt::flight_record {
 namespace {
 
 struct Flight {
@@ -80,4 +80,4 @@
 }
 
 }  // namespace
-}  // namespace beamshunt::record
+}  // namespace beamshunt::flight_record
--- a/tests/gate/gate_test.cpp
+++ b/tests/gate/gate_test.cpp
@@ -43,7 +43,7 @@
 }
 
 std::vector<Reason> all_of_it(const Change& change, const assigner::Gate& gate) {
-  configstream::Resources resources{{{change.type, "site"}, {2, change.body}}};
+  config_stream::Resources resources{{{change.type, "site"}, {2, change.body}}};
   assigner::Composed composed = assigner::compose(kFiles, resources);
   if (!composed.site) return composed.reasons;
   std::vector<std::string> changed;
--- a/tests/stored_data/stored_data_test.cpp
+++ b/tests/stored_data/stored_data_test.cpp
@@ -12,8 +12,8 @@
 #include "assigner/list_feed.h"
 #include "base/archive.h"
 #include "base/file.h"
-#include "configstream/store.h"
-#include "record/record.h"
+#include "config_stream/store.h"
+#include "flight_record/flight_record.h"
 #include "telemetry/buffer.h"
 #include "telemetry/figures.h"
 
@@ -51,7 +51,7 @@
 // fields had changed, or the decisions had, the record would be worth nothing: replay names the first
 // difference.
 TEST(StoredData, AFlightRecordReplaysToTheSameDecisions) {
-  record::Replay r = record::replay(stored("config-storm.record"));
+  flight_record::Replay r = flight_record::replay(stored("config-storm.record"));
   EXPECT_TRUE(r.same()) << r.difference;
   EXPECT_EQ(r.runs, 1u);
   EXPECT_EQ(r.takeovers, 6u);
@@ -62,7 +62,7 @@
 
 // The assigner was restarted in this one: a second run begins in the same file.
 TEST(StoredData, AFlightRecordWithARestartReplaysToTheSameDecisions) {
-  record::Replay r = record::replay(stored("metrics-outage.record"));
+  flight_record::Replay r = flight_record::replay(stored("metrics-outage.record"));
   EXPECT_TRUE(r.same()) << r.difference;
   EXPECT_EQ(r.runs, 2u);
   EXPECT_EQ(r.takeovers, 0u);
@@ -76,8 +76,8 @@
 TEST(StoredData, TheConfigurationHistoryHasTheSameVersions) {
   Scratch scratch("config");
   std::filesystem::copy_file(kFolder + "config/config.log", scratch.path() + "/config.log");
-  configstream::Store store(configstream::folder_disk(scratch.path()));
-  const configstream::Ledger& ledger = store.ledger();
+  config_stream::Store store(config_stream::folder_disk(scratch.path()));
+  const config_stream::Ledger& ledger = store.ledger();
   EXPECT_EQ(store.cut_bytes(), 0u);
   EXPECT_EQ(ledger.records().size(), 34u);
   EXPECT_EQ(ledger.newest(), 318u);
@@ -96,22 +96,22 @@
       {315, 12082691065585703803u, 2}, {318, 7767772513392262148u, 2},
   };
   for (const Expected& expected : versions) {
-    const configstream::Version* found = ledger.version(expected.number);
+    const config_stream::Version* found = ledger.version(expected.number);
     ASSERT_NE(found, nullptr) << expected.number;
     EXPECT_EQ(found->hash, expected.hash) << expected.number;
     EXPECT_EQ(found->resources.size(), expected.resources) << expected.number;
-    EXPECT_EQ(configstream::content_hash(found->resources), expected.hash) << expected.number;
+    EXPECT_EQ(config_stream::content_hash(found->resources), expected.hash) << expected.number;
   }
   ASSERT_NE(ledger.in_force(), nullptr);
   EXPECT_EQ(ledger.in_force()->number, 318u);
   ASSERT_NE(ledger.confirmed(), nullptr);
   EXPECT_EQ(ledger.confirmed()->number, 318u);
-  const configstream::Resource& limits = ledger.in_force()->resources.at({"limits", "site"});
+  const config_stream::Resource& limits = ledger.in_force()->resources.at({"limits", "site"});
   EXPECT_EQ(limits.body, "site: channel: delay_most: 205ms");
   EXPECT_EQ(limits.version, 315u);
 
-  const configstream::Record& refused = ledger.records()[1];
-  EXPECT_EQ(refused.kind, configstream::Record::Kind::refused);
+  const config_stream::Record& refused = ledger.records()[1];
+  EXPECT_EQ(refused.kind, config_stream::Record::Kind::refused);
   EXPECT_EQ(refused.wall_ms, 1796273192587);
   EXPECT_EQ(refused.number, 2u);
   EXPECT_EQ(refused.hash, 8649148068566799998u);
@@ -127,10 +127,10 @@
   std::string bytes = stored("config/config.log");
   Scratch source("config-source");
   std::filesystem::copy_file(kFolder + "config/config.log", source.path() + "/config.log");
-  configstream::Store before(configstream::folder_disk(source.path()));
+  config_stream::Store before(config_stream::folder_disk(source.path()));
   Scratch copy("config-copy");
-  configstream::Store again(configstream::folder_disk(copy.path()));
-  for (const configstream::Record& record : before.ledger().compacted(1000, 1000)) again.add(record);
+  config_stream::Store again(config_stream::folder_disk(copy.path()));
+  for (const config_stream::Record& record : before.ledger().compacted(1000, 1000)) again.add(record);
   EXPECT_TRUE(base::read_file(copy.path() + "/config.log") == bytes);
 }
 
