--- a/src/base/archive.h
+++ b/src/base/archive.h
@@ -1,6 +1,9 @@
-// Bytes in and out: one description of a record's fields serves both ways. Fixed width, big-endian; lengths
-// and counts are 32 bits. A type takes part by a free function found by its namespace:
-//   template <class A> void fields(A& a, Thing& t) { a(t.first, t.second); }
+// Binary encoding of records, for state files and for frames on streams. One description of a record's fields
+// serves both directions. Integers and doubles are fixed width and big-endian; lengths and counts have 32
+// bits; a time is a double in the unit of its type. A type takes part by a free function that is found by its
+// namespace:
+// It never adds a version or a checksum: who stores a record writes its own version first and seals it
+// (file.h).
 #pragma once
 
 #include <bit>
@@ -18,21 +21,24 @@
 
 namespace beamshunt::base {
 
-// What was read is not what was written; `offset` counts bytes from the start of the text decoded.
+// Bytes that are not what an Encoder wrote for the same fields. what() says what was found and expected.
 class DecodeError : public std::runtime_error {
  public:
   DecodeError(std::size_t where, const std::string& reason) : std::runtime_error(reason), offset(where) {}
-  std::size_t offset;
+  std::size_t offset;  // in bytes, from the start of the bytes given to the Decoder
 };
 
+// Appends values to a buffer of its own.
 class Encoder {
  public:
+  // Appends the values in their order.
   template <typename... Ts>
   void operator()(const Ts&... values) {
     (put(values), ...);
   }
+  // Moves the bytes out; the encoder is empty afterwards.
   std::string take() { return std::move(out_); }
-  const std::string& bytes() const { return out_; }
+  [[nodiscard]] const std::string& bytes() const { return out_; }
 
  private:
   template <std::integral T>
@@ -59,7 +65,8 @@
   }
   template <typename A, typename B>
   void put(const std::pair<A, B>& pair) {
-    put(pair.first), put(pair.second);
+    put(pair.first);
+    put(pair.second);
   }
   template <typename T>
   void put(const std::vector<T>& items) {
@@ -69,7 +76,10 @@
   template <typename K, typename V>
   void put(const std::map<K, V>& items) {
     put(static_cast<std::uint32_t>(items.size()));
-    for (const auto& [key, value] : items) put(key), put(value);
+    for (const auto& [key, value] : items) {
+      put(key);
+      put(value);
+    }
   }
   template <typename... Ts>
   void put(const std::variant<Ts...>& choice) {
@@ -85,20 +95,25 @@
   std::string out_;
 };
 
-// Every read is checked against what is left; counts are checked before memory is taken for them.
+// Reads values from bytes, which must outlive it. Every read is checked against what is left, and a count is
+// checked before memory is taken for it: four bytes of a damaged file or a hostile peer must not claim
+// gigabytes.
 class Decoder {
  public:
   explicit Decoder(std::string_view bytes) : bytes_(bytes) {}
 
+  // Reads the values in their order. Throws DecodeError; the values read up to there are changed.
   template <typename... Ts>
   void operator()(Ts&... values) {
     (get(values), ...);
   }
-  std::size_t offset() const { return at_; }
-  std::size_t left() const { return bytes_.size() - at_; }
+  [[nodiscard]] std::size_t offset() const { return at_; }
+  [[nodiscard]] std::size_t left() const { return bytes_.size() - at_; }
+  // Throws DecodeError if bytes are left.
   void end() const {
     if (left() > 0) fail(std::to_string(left()) + " bytes too many");
   }
+  // Throws DecodeError at the present offset, for a value that the caller finds impossible.
   [[noreturn]] void fail(const std::string& reason) const { throw DecodeError(at_, reason); }
 
  private:
@@ -148,7 +163,8 @@
   }
   template <typename A, typename B>
   void get(std::pair<A, B>& pair) {
-    get(pair.first), get(pair.second);
+    get(pair.first);
+    get(pair.second);
   }
   template <typename T>
   void get(std::vector<T>& items) {
@@ -169,8 +185,14 @@
     std::uint8_t index = 0;
     get(index);
     if (index >= sizeof...(Ts)) fail("a choice of kind " + std::to_string(index) + ", which is unknown");
-    std::size_t k = 0;
-    (void)((k++ == index && (get(choice.template emplace<Ts>()), true)) || ...);
+    get_alternative(index, choice);
+  }
+  template <std::size_t K = 0, typename... Ts>
+  void get_alternative(std::size_t index, std::variant<Ts...>& choice) {
+    if constexpr (K < sizeof...(Ts)) {
+      if (index != K) return get_alternative<K + 1>(index, choice);
+      get(choice.template emplace<K>());
+    }
   }
   template <typename T>
   requires std::is_class_v<T>
