--- a/fuzz/record.cpp
+++ b/fuzz/record.cpp
@@ -1,12 +1,10 @@
 // The flight record: whole, torn or damaged.
-#include <stdexcept>
-
-#include "flight_record/flight_record.h"
+#include "flight_record/replay.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   try {
     beamshunt::flight_record::replay({reinterpret_cast<const char*>(data), size});
-  } catch (const std::runtime_error&) {
+  } catch (const beamshunt::flight_record::FlightRecordError&) {
   }
   return 0;
 }
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -8,7 +8,7 @@
 
 #include "base/enums.h"
 #include "flight_record/codec.h"
-#include "flight_record/flight_record.h"
+#include "flight_record/writer.h"
 
 namespace beamshunt::assigner {
 namespace {
@@ -45,7 +45,8 @@
   next_release_ = list_heard_ = now;
   wall_less_now_ = wall_now - now;
   for (auto& [instance, address] : site_.peers) dial_at_[instance] = now;
-  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{flight_record::opening(site_.policy)});
+  if (!site_.record_file.empty())
+    effects_.push_back(AppendRecord{flight_record::encode_controller_start(site_.policy)});
   if (warm) book_ = std::move(*warm);
   // As on the bench, the first event is the warm copy, be it empty: the module asks for the list itself.
   tell(EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_now)});
@@ -533,7 +534,7 @@
   std::vector<Action> actions = module.controller.handle(at(now), events);
   counters_.events += events.size();
   if (!site_.record_file.empty())
-    effects_.push_back(AppendRecord{flight_record::batch(at(now), events, actions, number)});
+    effects_.push_back(AppendRecord{flight_record::encode_batch(at(now), events, actions, number)});
   act(now, number, module, actions);
   send_messages(now, number);
 }
@@ -593,7 +594,7 @@
   site_ = next;
   intake_.pace(site_.report_lines_per_s);
   if (!site_.record_file.empty())
-    effects_.push_back(AppendRecord{flight_record::applied(at(now), version, hash)});
+    effects_.push_back(AppendRecord{flight_record::encode_config_change(at(now), version, hash)});
   log(log::Level::info, "config_applied",
       {{"version", std::to_string(version)}, {"fresh_module", fresh ? "yes" : "no"}});
   for (auto s = streams_.begin(); s != streams_.end(); ++s) {
@@ -611,7 +612,7 @@
   std::uint32_t number = modules_.rbegin()->first + 1;
   Module& module = modules_.emplace(number, site_.policy).first->second;
   if (!site_.record_file.empty())
-    effects_.push_back(AppendRecord{flight_record::opening(site_.policy, number)});
+    effects_.push_back(AppendRecord{flight_record::encode_controller_start(site_.policy, number)});
   // Known instants of starts are kept as they are: no wall clock is needed, none of these is new.
   module.pending.push_back(
       EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_less_now_ + now)});
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -24,7 +24,7 @@
 #include "emulator/swarm.h"
 #include "experiment/report.h"
 #include "experiment/runner.h"
-#include "flight_record/flight_record.h"
+#include "flight_record/replay.h"
 #include "gate/gate.h"
 #include "load/load.h"
 #include "measure/measure.h"
@@ -265,10 +265,10 @@
 }
 
 int replay(const std::string& file) {
-  flight_record::Replay r = flight_record::replay(read_source(file).text);
+  flight_record::ReplayResult r = flight_record::replay(read_source(file).text);
   if (r.torn_bytes > 0) fmt::print("a torn tail of {} bytes at {} is left out\n", r.torn_bytes, r.torn_at);
-  fmt::print("{} runs, {} take-overs, {} versions, {} batches, {} events, {} actions\n", r.runs, r.takeovers,
-             r.versions, r.batches, r.events, r.actions);
+  fmt::print("{} runs, {} take-overs, {} versions, {} batches, {} events, {} actions\n", r.runs,
+             r.replacements, r.config_changes, r.batches, r.events, r.actions);
   if (!r.same()) fmt::print("differs: {}\n", r.difference);
   else fmt::print("the module decides the same\n");
   return r.same() ? kWell : kBroken;
--- a/src/day/player.cpp
+++ b/src/day/player.cpp
@@ -17,7 +17,7 @@
 
 #include "base/file.h"
 #include "day/script.h"
-#include "flight_record/flight_record.h"
+#include "flight_record/replay.h"
 #include "process/child.h"
 #include "standin/list.h"
 #include "standin/proxy.h"
@@ -471,7 +471,7 @@
       auto bytes = base::read_file(assigner_file(instance, "record"));
       if (!bytes) continue;
       try {
-        flight_record::Replay replay = flight_record::replay(*bytes);
+        flight_record::ReplayResult replay = flight_record::replay(*bytes);
         if (replay.same()) ++out.replayed;
         else out.differences.push_back(fmt::format("assigner {}: {}", instance, replay.difference));
       } catch (const std::runtime_error& error) {
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -13,7 +13,7 @@
 #include "audit/sabotage.h"
 #include "day/script.h"
 #include "emulator/engine.h"
-#include "flight_record/flight_record.h"
+#include "flight_record/replay.h"
 #include "standin/list.h"
 #include "standin/proxy_model.h"
 #include "standin/server_model.h"
--- a/src/flight_record/codec.h
+++ b/src/flight_record/codec.h
@@ -1,5 +1,6 @@
-// The fields of the policy's settings, events and actions, as the flight record keeps them: in this order.
-// A change of any of them is a new record version (record.h).
+// The fields of the policy's settings, events and actions, in the order in which a flight record keeps them.
+// The bytes have no names: a change of the fields, their order or their types is a new kFormatVersion
+// (format.h).
 #pragma once
 
 #include "base/archive.h"
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -5,7 +5,7 @@
 
 #include "assigner/rig.h"
 #include "draw.h"
-#include "flight_record/flight_record.h"
+#include "flight_record/replay.h"
 
 namespace beamshunt::assigner::test {
 namespace {
@@ -325,7 +325,7 @@
       for (auto& [number, lines] : tables) EXPECT_FALSE(lines.empty()) << "seed " << seed;
     }
     // The flight record of all this replays; with one action changed it does not.
-    flight_record::Replay replay = flight_record::replay(rig.record);
+    flight_record::ReplayResult replay = flight_record::replay(rig.record);
     EXPECT_TRUE(replay.same()) << replay.difference;
     EXPECT_GT(replay.batches, 600u);
   }
--- a/tests/assigner/streamed_test.cpp
+++ b/tests/assigner/streamed_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "assigner/rig.h"
-#include "flight_record/flight_record.h"
+#include "flight_record/replay.h"
 
 namespace beamshunt::assigner::test {
 namespace {
@@ -201,10 +201,10 @@
     for (auto& [c, table] : held[id].of_class) EXPECT_GE(table, 1u << 16) << "still on a former table";
     EXPECT_TRUE(held[id].has(2));
   }
-  flight_record::Replay replay = flight_record::replay(rig.record);
+  flight_record::ReplayResult replay = flight_record::replay(rig.record);
   EXPECT_TRUE(replay.same()) << replay.difference;
-  EXPECT_EQ(replay.takeovers, 1u);
-  EXPECT_EQ(replay.versions, 1u);
+  EXPECT_EQ(replay.replacements, 1u);
+  EXPECT_EQ(replay.config_changes, 1u);
 }
 
 // The channel is slow: while most proxies still wait for the fresh module, a server drains.
--- a/tests/stored_data/stored_data_test.cpp
+++ b/tests/stored_data/stored_data_test.cpp
@@ -13,7 +13,7 @@
 #include "base/archive.h"
 #include "base/file.h"
 #include "config_stream/store.h"
-#include "flight_record/flight_record.h"
+#include "flight_record/replay.h"
 #include "telemetry/buffer.h"
 #include "telemetry/figures.h"
 
@@ -51,22 +51,22 @@
 // fields had changed, or the decisions had, the record would be worth nothing: replay names the first
 // difference.
 TEST(StoredData, AFlightRecordReplaysToTheSameDecisions) {
-  flight_record::Replay r = flight_record::replay(stored("config-storm.record"));
+  flight_record::ReplayResult r = flight_record::replay(stored("config-storm.record"));
   EXPECT_TRUE(r.same()) << r.difference;
   EXPECT_EQ(r.runs, 1u);
-  EXPECT_EQ(r.takeovers, 6u);
-  EXPECT_EQ(r.versions, 8u);
+  EXPECT_EQ(r.replacements, 6u);
+  EXPECT_EQ(r.config_changes, 8u);
   EXPECT_EQ(r.batches, 161u);
   EXPECT_EQ(r.torn_bytes, 0u);
 }
 
 // The assigner was restarted in this one: a second run begins in the same file.
 TEST(StoredData, AFlightRecordWithARestartReplaysToTheSameDecisions) {
-  flight_record::Replay r = flight_record::replay(stored("metrics-outage.record"));
+  flight_record::ReplayResult r = flight_record::replay(stored("metrics-outage.record"));
   EXPECT_TRUE(r.same()) << r.difference;
   EXPECT_EQ(r.runs, 2u);
-  EXPECT_EQ(r.takeovers, 0u);
-  EXPECT_EQ(r.versions, 0u);
+  EXPECT_EQ(r.replacements, 0u);
+  EXPECT_EQ(r.config_changes, 0u);
   EXPECT_EQ(r.batches, 60u);
   EXPECT_EQ(r.torn_bytes, 0u);
 }
