--- a/fuzz/configstream.cpp
+++ b/fuzz/configstream.cpp
@@ -3,10 +3,9 @@
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
-#include <stdexcept>
 
 #include "config_stream/client.h"
-#include "config_stream/store.h"
+#include "config_stream/version_store.h"
 
 namespace {
 
@@ -17,7 +16,7 @@
   explicit OneFile(std::string_view bytes) : bytes_(bytes) {}
   std::optional<std::string> read(const std::string&) override { return bytes_; }
   void append(const std::string&, std::string_view) override {}
-  void cut(const std::string&, std::size_t size) override { bytes_.resize(size); }
+  void truncate(const std::string&, std::size_t size) override { bytes_.resize(size); }
   void sync(const std::string&) override {}
   void rename(const std::string&, const std::string&) override {}
   void remove(const std::string&) override {}
@@ -31,20 +30,20 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  Client client({.origin = "o", .most_frame = 4096, .most_bytes = 8192, .most_resources = 8}, {}, 0, {}, 0);
-  client.turn(0);
-  client.connected(0);
-  for (std::size_t at = 0; at < bytes.size(); at += 97) client.bytes(bytes.substr(at, 97), 1);
+  Client client({.origin = "o", .max_frame_bytes = 4096, .max_version_bytes = 8192, .max_resources = 8}, {},
+                0, {}, 0);
+  client.run_once(0);
+  client.on_connected(0);
+  for (std::size_t at = 0; at < bytes.size(); at += 97) client.on_bytes(bytes.substr(at, 97), 1);
   for (Effect& e : client.take_effects()) {
-    auto* check = std::get_if<Check>(&e);
+    auto* check = std::get_if<Validate>(&e);
     if (check && content_hash(check->candidate.resources) != check->candidate.hash) std::abort();
-    if (std::get_if<Apply>(&e)) std::abort();  // nothing has passed the gate
+    if (std::get_if<Apply>(&e)) std::abort();  // nothing was validated
   }
   try {
-    Store store(std::make_shared<OneFile>(bytes));
-    const Version* abandoned = nullptr;
-    store.ledger().to_start(&abandoned);
-  } catch (const std::runtime_error&) {  // damage is refused
+    VersionStore store(std::make_shared<OneFile>(bytes));
+    static_cast<void>(store.history().version_to_start());
+  } catch (const StoreError&) {  // damage is refused
   }
   return 0;
 }
--- a/src/assigner/config_feed.cpp
+++ b/src/assigner/config_feed.cpp
@@ -8,8 +8,9 @@
 namespace beamshunt::assigner {
 namespace {
 
+using config_stream::ClientEvent;
 using config_stream::Reason;
-using config_stream::Record;
+using Record = config_stream::HistoryRecord;
 using config_stream::Version;
 
 constexpr std::size_t kMostQueued = 64 * 1048576;  // bytes of versions on their way to disk or gate
@@ -61,11 +62,10 @@
   if (alone && alone->control) state = alone->state_folder;
   if (!alone) state = config::given_text(files, "state");
   if (state) {
-    std::unique_ptr<config_stream::Disk> disk = config_stream::folder_disk(config_folder(*state));
-    config_stream::Ledger ledger = config_stream::Store::look(*disk);
-    const Version* abandoned = nullptr;
-    const Version* first = ledger.to_start(&abandoned);
-    for (const Version* v : {first, ledger.confirmed()}) {
+    std::unique_ptr<config_stream::Disk> disk = config_stream::open_folder(config_folder(*state));
+    config_stream::VersionHistory history = config_stream::VersionStore::read_history(*disk);
+    const auto [first, abandoned] = history.version_to_start();
+    for (const Version* v : {first, history.last_good()}) {
       if (!v || (v != first && first && v->hash == first->hash)) continue;
       Composed c = compose(files, v->resources);
       if (c.site) {
@@ -88,10 +88,10 @@
 namespace {
 
 // The versions on disk, with what the beginning has found out of them.
-std::shared_ptr<config_stream::Store> open_store(const Beginning& beginning,
-                                                 const std::vector<Reason>& evidence) {
-  auto store = std::make_shared<config_stream::Store>(std::shared_ptr<config_stream::Disk>(
-      config_stream::folder_disk(config_folder(beginning.site.state_folder))));
+std::shared_ptr<config_stream::VersionStore> open_store(const Beginning& beginning,
+                                                        const std::vector<Reason>& evidence) {
+  auto store = std::make_shared<config_stream::VersionStore>(std::shared_ptr<config_stream::Disk>(
+      config_stream::open_folder(config_folder(beginning.site.state_folder))));
   if (beginning.abandoned)
     store->add({.kind = Record::Kind::reverted,
                 .wall_ms = wall(),
@@ -120,17 +120,18 @@
       store_(open_store(beginning, kEndedOnTrial)),
       client_({.instance = beginning.site.instance,
                .origin = control_.origin,
-               .endpoints = control_.services.size(),
-               .heartbeat = control_.heartbeat,
-               .return_after = control_.return_after,
-               .deliver_within = control_.deliver_within,
-               .backoff_least = control_.backoff_least,
-               .backoff_most = control_.backoff_most,
-               .most_frame = control_.most_frame,
-               .most_bytes = control_.most_bytes,
-               .most_resources = control_.most_resources,
+               .services = control_.services.size(),
+               .heartbeat_interval = control_.heartbeat,
+               .failback_after = control_.return_after,
+               .delivery_timeout = control_.deliver_within,
+               .min_backoff = control_.backoff_least,
+               .max_backoff = control_.backoff_most,
+               .max_frame_bytes = control_.most_frame,
+               .max_version_bytes = control_.most_bytes,
+               .max_resources = control_.most_resources,
                .seed = beginning.site.policy.seed},
-              beginning.version, store_->ledger().newest(), store_->ledger().broken(), reactor.now()),
+              beginning.version, store_->history().highest_number(), store_->history().reverted_contents(),
+              reactor.now()),
       served_(control_.least_requests),
       disk_(kMostQueued),
       judge_(kMostQueued) {
@@ -139,14 +140,14 @@
               {{"version", std::to_string(beginning.abandoned->number)}, {"reason", lines(kEndedOnTrial)}});
   for (const std::string& note : beginning.notes)
     host_.say(log::Level::error, "config_not_usable", {{"reason", note}});
-  const config_stream::Ledger& ledger = store_->ledger();
-  if (ledger.confirmed()) last_good_ = *ledger.confirmed();
-  client_.pin(ledger.pinned(), reactor.now());
+  const config_stream::VersionHistory& history = store_->history();
+  if (history.last_good()) last_good_ = *history.last_good();
+  client_.set_pin(history.pinned(), reactor.now());
   if (beginning.version.number != 0) {
-    if (ledger.on_trial())
+    if (history.on_trial())
       watch_.emplace(Watch::Limits{control_.watch, control_.service_drop, control_.least_requests},
                      std::nullopt, margins_, reactor.now());
-    on_trial_ = ledger.on_trial();
+    on_trial_ = history.on_trial();
     store_->add({.kind = Record::Kind::started,
                  .wall_ms = wall(),
                  .number = beginning.version.number,
@@ -171,13 +172,13 @@
 
 void ConfigFeed::turn() {
   turn_due_ = false;
-  client_.turn(reactor_.now());
+  client_.run_once(reactor_.now());
   for (auto effects = client_.take_effects(); !effects.empty(); effects = client_.take_effects())
     for (config_stream::Effect& e : effects) std::visit([this](auto& x) { carry_out(x); }, e);
   if (timer_) reactor_.cancel(*timer_);
   timer_.reset();
-  if (client_.next_due() < base::kNever)
-    timer_ = reactor_.at(client_.next_due(), [this, alive = alive_] {
+  if (client_.next_deadline() < base::kNever)
+    timer_ = reactor_.at(client_.next_deadline(), [this, alive = alive_] {
       if (!*alive) return;
       timer_.reset();
       soon();
@@ -186,40 +187,40 @@
 
 // ---- The stream ----
 
-void ConfigFeed::carry_out(config_stream::Dial& e) {
+void ConfigFeed::carry_out(config_stream::Connect& e) {
   std::uint64_t number = ++stream_number_;
   auto mine = [this, alive = alive_, number] { return *alive && number == stream_number_; };
-  stream_ = net::Connection::dial(reactor_, control_.services[e.endpoint], from_,
+  stream_ = net::Connection::dial(reactor_, control_.services[e.service], from_,
                                   {.most_unsent = control_.most_bytes + 1048576});
   stream_->start({[this, mine] {
                     if (!mine()) return;
-                    client_.connected(reactor_.now());
+                    client_.on_connected(reactor_.now());
                     soon();
                   },
                   [this, mine](std::string_view bytes) {
                     if (!mine()) return;
-                    client_.bytes(bytes, reactor_.now());
+                    client_.on_bytes(bytes, reactor_.now());
                     soon();
                   },
                   {},
                   [this, mine](net::CloseReason reason) {
                     if (!mine()) return;
                     stream_.reset();
-                    client_.closed(net::reason_name(reason), reactor_.now());
+                    client_.on_disconnected(net::reason_name(reason), reactor_.now());
                     soon();
                   }});
 }
-void ConfigFeed::carry_out(config_stream::Send& e) {
+void ConfigFeed::carry_out(config_stream::SendBytes& e) {
   if (stream_) stream_->send(std::move(e.bytes));
 }
-void ConfigFeed::carry_out(config_stream::HangUp&) {
+void ConfigFeed::carry_out(config_stream::CloseAfterSending&) {
   ++stream_number_;
   if (auto stream = std::exchange(stream_, nullptr)) stream->close_after_sending();
 }
 
 // ---- The gate ----
 
-void ConfigFeed::carry_out(config_stream::Check& e) {
+void ConfigFeed::carry_out(config_stream::Validate& e) {
   struct Job {
     Version candidate;
     std::vector<config::Source> files;
@@ -228,7 +229,7 @@
     std::vector<std::string> changed;
   };
   auto job = std::make_shared<Job>(Job{std::move(e.candidate), files_, host_.fleet(), host_.site(), {}});
-  job->changed = changed_paths(client_.in_force().resources, job->candidate.resources);
+  job->changed = changed_paths(client_.active().resources, job->candidate.resources);
   Ms begun = base::monotonic_ms();
   std::size_t size = 65536;
   for (auto& [key, resource] : job->candidate.resources) size += resource.body.size();
@@ -251,7 +252,7 @@
         });
   });
   if (!taken) {
-    client_.checked(e.ticket, {{"gate", "", "the gate is behind", ""}}, reactor_.now());
+    client_.on_validated(e.ticket, {{"gate", "", "the gate is behind", ""}}, reactor_.now());
     soon();
   }
 }
@@ -261,7 +262,7 @@
   last_check_ms_ = base::monotonic_ms() - begun;
   longest_check_ms_ = std::max(longest_check_ms_, last_check_ms_);
   if (reasons.empty()) return let_through(ticket, std::move(site), hash, reactor_.now() + kRoomWithin);
-  client_.checked(ticket, std::move(reasons), reactor_.now());
+  client_.on_validated(ticket, std::move(reasons), reactor_.now());
   soon();
 }
 
@@ -272,13 +273,14 @@
     // The fleet may have changed since the gate looked; this much must hold at the instant itself.
     auto reasons = unapplicable(host_.site(), *site, host_.fleet());
     if (reasons.empty()) passed_ = Passed{hash, std::move(site)};
-    client_.checked(ticket, std::move(reasons), reactor_.now());
+    client_.on_validated(ticket, std::move(reasons), reactor_.now());
     return soon();
   }
-  if (client_.give_way(ticket, reactor_.now())) return soon();
+  if (client_.supersede_by_queued(ticket, reactor_.now())) return soon();
   if (reactor_.now() >= limit) {
-    client_.checked(ticket, {{"rule 5", "", "no room among the messages of some proxy to take it over", ""}},
-                    reactor_.now());
+    client_.on_validated(ticket,
+                         {{"rule 5", "", "no room among the messages of some proxy to take it over", ""}},
+                         reactor_.now());
     return soon();
   }
   reactor_.at(reactor_.now() + kRoomEvery, [this, alive = alive_, ticket, site, hash, limit] {
@@ -309,41 +311,41 @@
   if (!taken && done) done("the disk is behind");
 }
 
-void ConfigFeed::carry_out(config_stream::Keep& e) {
+void ConfigFeed::carry_out(config_stream::Persist& e) {
   keep_record({.kind = Record::Kind::accepted,
                .number = e.candidate.number,
                .hash = e.candidate.hash,
                .cause = "from the stream",
                .content = e.candidate.resources},
               [this, ticket = e.ticket](const std::string& failure) {
-                client_.kept(ticket, failure, reactor_.now());
+                client_.on_persisted(ticket, failure, reactor_.now());
                 soon();
               });
 }
 
-void ConfigFeed::carry_out(config_stream::Told& e) {
-  bool bad = e.event == "config_refused" || e.event == "config_reverted";
-  host_.say(bad ? log::Level::warning : log::Level::info, e.event,
+void ConfigFeed::carry_out(config_stream::Notify& e) {
+  bool bad = e.event == ClientEvent::version_rejected || e.event == ClientEvent::version_reverted;
+  host_.say(bad ? log::Level::warning : log::Level::info, config_stream::event_name(e.event),
             {{"version", std::to_string(e.number)},
              {"hash", fmt::format("{:016x}", e.hash)},
              {"reason", e.reasons.empty() ? e.reason : lines(e.reasons)}});
-  if (e.event == "config_refused") {
+  if (e.event == ClientEvent::version_rejected) {
     if (reactor_.now() >= second_ + 1000) second_ = reactor_.now(), refusals_kept_ = 0;
     if (++refusals_kept_ <= kMostRefusals)
       keep_record({.kind = Record::Kind::refused, .number = e.number, .hash = e.hash, .reasons = e.reasons},
                   {});
   }
-  if (e.event == "config_reverted") {
+  if (e.event == ClientEvent::version_reverted) {
     on_trial_ = false;
     keep_record({.kind = Record::Kind::reverted,
                  .number = e.number,
                  .hash = e.hash,
-                 .to_number = client_.in_force().number,
-                 .to_hash = client_.in_force().hash,
+                 .to_number = client_.active().number,
+                 .to_hash = client_.active().hash,
                  .reasons = e.reasons},
                 {});
   }
-  if (e.event == "config_taken") on_trial_ = true;
+  if (e.event == ClientEvent::version_accepted) on_trial_ = true;
 }
 
 // ---- Into force ----
@@ -397,7 +399,7 @@
       return;
     case Watch::State::passed:
       watch_.reset();
-      last_good_ = client_.in_force();
+      last_good_ = client_.active();
       host_.say(log::Level::info, "config_confirmed", {{"version", std::to_string(last_good_.number)}});
       return keep_record(
           {.kind = Record::Kind::confirmed, .number = last_good_.number, .hash = last_good_.hash}, {});
@@ -409,11 +411,11 @@
   std::string why;
   if (!site_of(last_good_, why)) {  // the files alone are not whole, and there was no version before
     host_.say(log::Level::error, "config_stays",
-              {{"version", std::to_string(client_.in_force().number)},
+              {{"version", std::to_string(client_.active().number)},
                {"reason", lines(evidence) + "; there is nothing to go back to: " + why}});
     return;
   }
-  client_.went_back(last_good_, std::move(evidence), reactor_.now());
+  client_.revert_to(last_good_, std::move(evidence), reactor_.now());
   soon();
 }
 
@@ -422,7 +424,7 @@
 void ConfigFeed::roll_back(std::uint64_t number, Done done) {
   bool taken = disk_.post(1024, [this, alive = alive_, store = store_, number, done] {
     std::optional<Version> found;
-    if (const Version* v = store->ledger().version(number)) found = *v;
+    if (const Version* v = store->history().find_version(number)) found = *v;
     reactor_.post([this, alive, number, done, found = std::move(found)] {
       if (!*alive) return;
       if (!found) return done(fmt::format("there is no version {} on disk", number));
@@ -431,13 +433,13 @@
       if (!site) return done(fmt::format("version {} is not sound with these files: {}", number, why));
       auto reasons = unapplicable(host_.site(), *site, host_.fleet());
       if (!reasons.empty()) return done(lines(reasons));
-      Version before = client_.in_force();
-      client_.rolled_back(*found, reactor_.now());
-      client_.pin(number, reactor_.now());
+      Version before = client_.active();
+      client_.roll_back_to(*found, reactor_.now());
+      client_.set_pin(number, reactor_.now());
       on_trial_ = false;
       last_good_ = *found;
       soon();
-      std::vector<Record> records = config_stream::rollback(before, *found);
+      std::vector<Record> records = config_stream::rollback_records(before, *found);
       for (Record& r : records) {
         r.cause = "by a person";
         keep_record(r, r.kind == records.back().kind ? done : Done());
@@ -448,26 +450,26 @@
 }
 
 void ConfigFeed::pin(Done done) {
-  const Version& v = client_.in_force();
-  client_.pin(v.number, reactor_.now());
+  const Version& v = client_.active();
+  client_.set_pin(v.number, reactor_.now());
   soon();
   keep_record({.kind = Record::Kind::pinned, .number = v.number, .hash = v.hash}, std::move(done));
 }
 
 void ConfigFeed::unpin(Done done) {
-  client_.pin(std::nullopt, reactor_.now());
+  client_.set_pin(std::nullopt, reactor_.now());
   soon();
-  const Version& v = client_.in_force();
+  const Version& v = client_.active();
   keep_record({.kind = Record::Kind::unpinned, .number = v.number, .hash = v.hash}, std::move(done));
 }
 
 void ConfigFeed::forgive(std::uint64_t number, Done done) {
   bool taken = disk_.post(1024, [this, alive = alive_, store = store_, number, done] {
-    std::optional<std::uint64_t> hash = store->ledger().hash_gone_back(number);
+    std::optional<std::uint64_t> hash = store->history().reverted_hash(number);
     reactor_.post([this, alive, number, hash, done] {
       if (!*alive) return;
       if (!hash) return done(fmt::format("version {} never went back", number));
-      client_.forgive(*hash);
+      client_.allow_again(*hash);
       keep_record({.kind = Record::Kind::forgiven, .number = number, .hash = *hash}, done);
     });
   });
@@ -476,11 +478,11 @@
 
 std::string ConfigFeed::status_json() const {
   const config_stream::ClientCounters& c = client_.counters();
-  nlohmann::json out{{"version", client_.in_force().number},
-                     {"hash", fmt::format("{:016x}", client_.in_force().hash)},
+  nlohmann::json out{{"version", client_.active().number},
+                     {"hash", fmt::format("{:016x}", client_.active().hash)},
                      {"last_good", last_good_.number},
                      {"on_trial", watch_.has_value() || on_trial_},
-                     {"newest", client_.newest()},
+                     {"newest", client_.highest_number()},
                      {"streaming", client_.streaming()},
                      {"origin", control_.origin},
                      {"offered", c.offered},
@@ -497,7 +499,7 @@
 
 void ConfigFeed::fill(telemetry::Figures& figures) const {
   const config_stream::ClientCounters& c = client_.counters();
-  figures.config_version = static_cast<double>(client_.in_force().number);
+  figures.config_version = static_cast<double>(client_.active().number);
   figures.config_streaming = client_.streaming();
   figures.config_acked = c.acked, figures.config_nacked = c.nacked;
   figures.config_superseded = c.superseded, figures.config_reverted = c.reverted;
@@ -505,7 +507,7 @@
 
 std::string ConfigFeed::alerts() const {
   std::string out;
-  for (auto& [key, resource] : client_.in_force().resources)
+  for (auto& [key, resource] : client_.active().resources)
     if (key.type == kAlertsType) out += "# " + key.name + "\n" + resource.body + "\n";
   return out;
 }
--- a/src/assigner/config_feed.h
+++ b/src/assigner/config_feed.h
@@ -13,7 +13,7 @@
 #include "assigner/watch.h"
 #include "base/worker.h"
 #include "config_stream/client.h"
-#include "config_stream/store.h"
+#include "config_stream/version_store.h"
 #include "log/log.h"
 #include "net/connection.h"
 
@@ -62,19 +62,19 @@
   };
   void soon();
   void turn();
-  void carry_out(config_stream::Dial& e);
-  void carry_out(config_stream::Send& e);
-  void carry_out(config_stream::HangUp& e);
-  void carry_out(config_stream::Check& e);
-  void carry_out(config_stream::Keep& e);
+  void carry_out(config_stream::Connect& e);
+  void carry_out(config_stream::SendBytes& e);
+  void carry_out(config_stream::CloseAfterSending& e);
+  void carry_out(config_stream::Validate& e);
+  void carry_out(config_stream::Persist& e);
   void carry_out(config_stream::Apply& e);
-  void carry_out(config_stream::Told& e);
+  void carry_out(config_stream::Notify& e);
   void judged(std::uint64_t ticket, std::vector<config_stream::Reason> reasons,
               std::shared_ptr<const Site> site, std::uint64_t hash, Ms begun);
   void let_through(std::uint64_t ticket, std::shared_ptr<const Site> site, std::uint64_t hash, Ms limit);
   void try_to_apply();
   void look();
-  void keep_record(config_stream::Record record, Done done);
+  void keep_record(config_stream::HistoryRecord record, Done done);
   std::shared_ptr<const Site> site_of(const config_stream::Version& version, std::string& why) const;
 
   net::Reactor& reactor_;
@@ -83,7 +83,7 @@
   net::Address from_{};
   std::shared_ptr<const Gate> gate_;
   Host host_;
-  std::shared_ptr<config_stream::Store> store_;  // the disk thread's, but for the constructor
+  std::shared_ptr<config_stream::VersionStore> store_;  // the disk thread's, but for the constructor
   config_stream::Client client_;
   config_stream::Version last_good_;  // number 0: the files alone
   std::optional<Passed> passed_;
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -126,10 +126,10 @@
 assigner::Beginning beginning_of(const VersionArguments& a) { return assigner::begin(read_sources(a.files)); }
 std::unique_ptr<config_stream::Disk> versions_of(const assigner::Beginning& beginning) {
   if (!beginning.site.control) throw std::runtime_error("these settings name no control service");
-  return config_stream::folder_disk(assigner::config_folder(beginning.site.state_folder));
+  return config_stream::open_folder(assigner::config_folder(beginning.site.state_folder));
 }
-const config_stream::Version& known(const config_stream::Ledger& ledger, std::uint64_t number) {
-  const config_stream::Version* v = ledger.version(number);
+const config_stream::Version& known(const config_stream::VersionHistory& history, std::uint64_t number) {
+  const config_stream::Version* v = history.find_version(number);
   if (!v) throw std::runtime_error(fmt::format("there is no version {} on disk", number));
   return *v;
 }
@@ -138,13 +138,14 @@
 // written here.
 int change_versions(
     const VersionArguments& a, const std::string& target,
-    const std::function<std::vector<config_stream::Record>(const config_stream::Ledger&)>& records) {
+    const std::function<std::vector<config_stream::HistoryRecord>(const config_stream::VersionHistory&)>&
+        records) {
   assigner::Beginning beginning = beginning_of(a);
   auto disk = std::shared_ptr<config_stream::Disk>(versions_of(beginning));
   const std::string& state = beginning.site.state_folder;
   if (auto lock = assigner::lock_state(state)) {
-    config_stream::Store store(disk);
-    for (config_stream::Record& r : records(store.ledger())) {
+    config_stream::VersionStore store(disk);
+    for (config_stream::HistoryRecord& r : records(store.history())) {
       r.wall_ms = static_cast<std::int64_t>(base::wall_ms());
       r.cause = "by a person, with no assigner running";
       store.add(r);
@@ -173,31 +174,31 @@
 
 int config_history(const VersionArguments& a) {
   auto disk = versions_of(beginning_of(a));
-  config_stream::Ledger ledger = config_stream::Store::look(*disk);
-  for (const config_stream::Record& r : ledger.records()) {
+  config_stream::VersionHistory history = config_stream::VersionStore::read_history(*disk);
+  for (const config_stream::HistoryRecord& r : history.records()) {
     std::time_t seconds = static_cast<std::time_t>(r.wall_ms / 1000);
     fmt::print("{:%Y-%m-%d %H:%M:%S}  version {} ({:016x}) {}", fmt::gmtime(seconds), r.number, r.hash,
                config_stream::kind_name(r.kind));
-    bool back =
-        r.kind == config_stream::Record::Kind::reverted || r.kind == config_stream::Record::Kind::rolled_back;
+    bool back = r.kind == config_stream::HistoryRecord::Kind::reverted ||
+                r.kind == config_stream::HistoryRecord::Kind::rolled_back;
     if (back) fmt::print(" to {}", r.to_number == 0 ? "the files" : std::to_string(r.to_number));
     fmt::print("{}\n", r.cause.empty() ? "" : ", " + r.cause);
     for (const config_stream::Reason& reason : r.reasons)
       fmt::print("    {}\n", config_stream::to_string(reason));
   }
   auto number = [](const config_stream::Version* v) { return v ? std::to_string(v->number) : "none"; };
-  fmt::print("in force: {}; last good: {}; pinned: {}\n", number(ledger.in_force()),
-             number(ledger.confirmed()), ledger.pinned() ? std::to_string(*ledger.pinned()) : "none");
+  fmt::print("in force: {}; last good: {}; pinned: {}\n", number(history.active()),
+             number(history.last_good()), history.pinned() ? std::to_string(*history.pinned()) : "none");
   return kWell;
 }
 
 int config_diff(const VersionArguments& a) {
   auto disk = versions_of(beginning_of(a));
-  config_stream::Ledger ledger = config_stream::Store::look(*disk);
+  config_stream::VersionHistory history = config_stream::VersionStore::read_history(*disk);
   std::vector<config::Source> files = read_sources(a.files);
   std::map<std::string, std::string> values[2];
   for (int side : {0, 1}) {
-    const config_stream::Version& v = known(ledger, side == 0 ? a.from : a.to);
+    const config_stream::Version& v = known(history, side == 0 ? a.from : a.to);
     std::vector<config::Source> over;
     for (auto& [key, resource] : v.resources) {
       if (key.type == assigner::kAlertsType) values[side][key.type + "/" + key.name] = resource.body;
@@ -219,30 +220,32 @@
 }
 
 int config_rollback(const VersionArguments& a) {
-  return change_versions(
-      a, fmt::format("/v1/config/rollback?version={}", a.to), [&](const config_stream::Ledger& ledger) {
-        const config_stream::Version* now = ledger.in_force();
-        return config_stream::rollback(now ? *now : config_stream::Version{}, known(ledger, a.to));
-      });
+  return change_versions(a, fmt::format("/v1/config/rollback?version={}", a.to),
+                         [&](const config_stream::VersionHistory& history) {
+                           const config_stream::Version* now = history.active();
+                           return config_stream::rollback_records(now ? *now : config_stream::Version{},
+                                                                  known(history, a.to));
+                         });
 }
 
 int config_forgive(const VersionArguments& a) {
   return change_versions(
-      a, fmt::format("/v1/config/forgive?version={}", a.to), [&](const config_stream::Ledger& ledger) {
-        auto hash = ledger.hash_gone_back(a.to);
+      a, fmt::format("/v1/config/forgive?version={}", a.to),
+      [&](const config_stream::VersionHistory& history) {
+        auto hash = history.reverted_hash(a.to);
         if (!hash) throw std::runtime_error(fmt::format("version {} never went back", a.to));
-        return std::vector<config_stream::Record>{
-            {.kind = config_stream::Record::Kind::forgiven, .number = a.to, .hash = *hash}};
+        return std::vector<config_stream::HistoryRecord>{
+            {.kind = config_stream::HistoryRecord::Kind::forgiven, .number = a.to, .hash = *hash}};
       });
 }
 
 int config_pin(const VersionArguments& a, bool pinned) {
   return change_versions(
-      a, pinned ? "/v1/config/pin" : "/v1/config/unpin", [&](const config_stream::Ledger& ledger) {
-        const config_stream::Version* now = ledger.in_force();
+      a, pinned ? "/v1/config/pin" : "/v1/config/unpin", [&](const config_stream::VersionHistory& history) {
+        const config_stream::Version* now = history.active();
         if (!now) throw std::runtime_error("no streamed version is in force");
-        using Kind = config_stream::Record::Kind;
-        return std::vector<config_stream::Record>{
+        using Kind = config_stream::HistoryRecord::Kind;
+        return std::vector<config_stream::HistoryRecord>{
             {.kind = pinned ? Kind::pinned : Kind::unpinned, .number = now->number, .hash = now->hash}};
       });
 }
--- a/src/config_stream/client.h
+++ b/src/config_stream/client.h
@@ -1,20 +1,23 @@
-// The assigner's side of streamed configuration, without its socket and its disk: which service to dial, what
-// was offered, what is looked at, what each delivery is answered. Time, bytes and verdicts in, effects out.
+// The assigner's side of streamed configuration, without its socket and its disk: which service to connect
+// to, what was offered, what is validated, what each delivery is answered. Time, bytes and results go in,
+// effects come out; it does no I/O and decides nothing about what a version means.
 //
-// A delivery goes: offered -> checked (by the gate, off the loop) -> kept (on disk) -> acked and applied.
-// One is under way at a time and one waits; a later one takes the waiting one's place. Each is answered once.
+// A delivered version is offered, then validated (off the event loop), then persisted (on disk), then acked
+// and applied. One version is in progress at a time and one is queued; a later one takes the queued one's
+// place. Each delivery is answered once. Acked means on disk: a version that was acked survives a kill.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <optional>
-#include <pcg_random.hpp>
 #include <string>
 #include <utility>
 #include <variant>
 #include <vector>
 
 #include "base/time.h"
+#include "config_stream/delivery_assembler.h"
+#include "config_stream/reconnect_schedule.h"
 #include "config_stream/wire.h"
 
 namespace beamshunt::config_stream {
@@ -22,125 +25,168 @@
 using base::Ms;
 
 struct ClientOptions {
-  std::uint32_t instance = 0;
-  std::string origin;
-  std::size_t endpoints = 1;  // control services, in the order they are dialled
-  Ms heartbeat = 1000;        // silence of three breaks the stream
-  Ms return_after = 60000;    // on another service than the first: then the first is tried again
-  Ms deliver_within = 10000;  // from a delivery's first part to its last
-  Ms backoff_least = 200, backoff_most = 10000;
-  std::size_t most_frame = 1 << 20, most_bytes = 4 << 20, most_resources = 1000;
-  std::uint64_t seed = 1;
+  std::uint32_t instance = 0;    // this assigner's number
+  std::string origin;            // whose versions are wanted
+  std::size_t services = 1;      // configuration services, in the order in which they are tried
+  Ms heartbeat_interval = 1000;  // silence of channel::kSilentBeats of them ends the stream
+  Ms failback_after = 60000;     // on another service than the first: the first is tried again
+  Ms delivery_timeout = 10000;   // from a delivery's first part to its last
+  Ms min_backoff = 200;          // see ReconnectSchedule
+  Ms max_backoff = 10000;        //
+  std::size_t max_frame_bytes = 1 << 20;
+  std::size_t max_version_bytes = 4 << 20;  // of types, names and bodies in one delivery
+  std::size_t max_resources = 1000;
+  std::uint64_t seed = 1;  // of the backoff's jitter
 };
 
-// ---- Effects ----
-struct Dial {
-  std::size_t endpoint = 0;
+// ---- Effects: what the caller has to do, in their order ----
+
+// Connect to this service, a position from 0; on_connected() or on_disconnected() is due.
+struct Connect {
+  std::size_t service = 0;
 };
-struct Send {
+struct SendBytes {
   std::string bytes;
 };
-struct HangUp {};  // after what was sent before
-struct Check {     // by the gate: checked() is due
+// Close the stream once all that was sent before is written. on_disconnected() is not wanted for it.
+struct CloseAfterSending {};
+// Validate the candidate; on_validated() with the same ticket is due.
+struct Validate {
   std::uint64_t ticket = 0;
   Version candidate;
 };
-struct Keep {  // on disk, before it is acked: kept() is due
+// Put the candidate on disk, before it is acked; on_persisted() with the same ticket is due.
+struct Persist {
   std::uint64_t ticket = 0;
   Version candidate;
 };
-struct Apply {  // it is kept: run it from now on
+// The version is on disk: run it from now on.
+struct Apply {
   Version version;
 };
-struct Told {  // for the log and the history
-  std::string event, reason;
-  std::uint64_t number = 0, hash = 0;
+enum class ClientEvent {
+  stream_disconnected,  // the next attempt follows after a wait
+  version_rejected,     // nacked; the reasons say why
+  version_accepted,     // acked and on disk
+  version_reverted,     // failed on trial; the version before it is active again
+  version_rolled_back,  // a person chose another version
+};
+// The name of the event in the log.
+const char* event_name(ClientEvent event);
+// For the log and the history.
+struct Notify {
+  ClientEvent event{};
+  std::string reason;  // of stream_disconnected
+  std::uint64_t number = 0;
+  std::uint64_t hash = 0;
   std::vector<Reason> reasons;
 };
-using Effect = std::variant<Dial, Send, HangUp, Check, Keep, Apply, Told>;
+using Effect = std::variant<Connect, SendBytes, CloseAfterSending, Validate, Persist, Apply, Notify>;
 
+// Counted since the client began.
 struct ClientCounters {
-  std::uint64_t offered = 0, acked = 0, nacked = 0, superseded = 0, resyncs = 0, reverted = 0, streams = 0;
+  std::uint64_t offered = 0;  // deliveries begun
+  std::uint64_t acked = 0;
+  std::uint64_t nacked = 0;
+  std::uint64_t superseded = 0;
+  std::uint64_t resyncs = 0;
+  std::uint64_t reverted = 0;
+  std::uint64_t streams = 0;  // connections made
 };
 
 class Client {
  public:
-  // `in_force`: what runs; `newest`: the highest number ever taken of this origin; `broken`: hashes of
-  // versions that went back, with the evidence; they are not tried again.
-  Client(ClientOptions options, Version in_force, std::uint64_t newest,
-         std::map<std::uint64_t, std::string> broken, Ms now);
-
-  void connected(Ms now);
-  void bytes(std::string_view bytes, Ms now);
-  void closed(const std::string& reason, Ms now);
-  void checked(std::uint64_t ticket, std::vector<Reason> reasons, Ms now);
-  // It has passed the gate and can't be run yet: if a later one waits, that one is looked at instead. False:
-  // none does.
-  bool give_way(std::uint64_t ticket, Ms now);
-  void kept(std::uint64_t ticket, const std::string& failure, Ms now);  // failure empty: it is on disk
-  // The version in force went back to `to` within its watch: the service is told late, with the evidence.
-  void went_back(Version to, std::vector<Reason> evidence, Ms now);
-  // A person chose `to`; what is under way is dropped and answered so.
-  void rolled_back(Version to, Ms now);
-  void pin(std::optional<std::uint64_t> number, Ms now);  // nothing else is taken; none: the stream rules
-  void forgive(std::uint64_t hash) { broken_.erase(hash); }
-  void turn(Ms now);
-  Ms next_due() const;
+  // `active`: the version that runs, number 0 if none. `highest_number`: the highest number ever accepted of
+  // this origin. `reverted_contents`: by content hash, what failed on trial, with the evidence; it is not
+  // tried again.
+  Client(ClientOptions options, Version active, std::uint64_t highest_number,
+         std::map<std::uint64_t, std::string> reverted_contents, Ms now);
+
+  // ---- The stream ----
+  void on_connected(Ms now);
+  void on_bytes(std::string_view bytes, Ms now);
+  void on_disconnected(const std::string& reason, Ms now);
+
+  // ---- The version in progress ----
+  // No reasons: it is valid. A ticket that is no longer in progress is ignored.
+  void on_validated(std::uint64_t ticket, std::vector<Reason> reasons, Ms now);
+  // The version is valid and can't be applied yet: if a later one is queued, that one is validated in its
+  // place. False if none is, and the caller waits on.
+  bool supersede_by_queued(std::uint64_t ticket, Ms now);
+  // Empty `failure`: it is on disk.
+  void on_persisted(std::uint64_t ticket, const std::string& failure, Ms now);
+
+  // ---- Back to another version ----
+  // The active version failed on trial and `to` is active again. The service is told late, with the evidence.
+  void revert_to(Version to, std::vector<Reason> evidence, Ms now);
+  // A person chose `to`. What is in progress or queued is dropped and nacked.
+  void roll_back_to(Version to, Ms now);
+  // A number: every other version is nacked until it is unpinned. Nothing: the stream rules again, and what
+  // the pin alone kept out is offered again.
+  void set_pin(std::optional<std::uint64_t> number, Ms now);
+  // Content of this hash that failed on trial may be tried again.
+  void allow_again(std::uint64_t hash) { reverted_contents_.erase(hash); }
+
+  // ---- Time ----
+  // Does what is due at `now`: connects, sends heartbeats, ends streams that are silent or too slow.
+  void run_once(Ms now);
+  // When run_once() is due next; base::kNever if only an event can change anything.
+  [[nodiscard]] Ms next_deadline() const;
+  // The effects since the last call.
   std::vector<Effect> take_effects() { return std::exchange(effects_, {}); }
 
-  const Version& in_force() const { return in_force_; }
-  std::uint64_t newest() const { return newest_; }
-  std::optional<std::uint64_t> pinned() const { return pinned_; }
-  bool streaming() const { return state_ == State::streaming; }
-  bool busy() const { return under_way_.has_value(); }
-  const ClientCounters& counters() const { return counters_; }
+  [[nodiscard]] const Version& active() const { return active_; }
+  [[nodiscard]] std::uint64_t highest_number() const { return highest_number_; }
+  [[nodiscard]] std::optional<std::uint64_t> pinned() const { return pinned_; }
+  [[nodiscard]] bool streaming() const { return state_ == State::streaming; }
+  // Whether a version is validated or persisted at present.
+  [[nodiscard]] bool busy() const { return in_progress_.has_value(); }
+  [[nodiscard]] const ClientCounters& counters() const { return counters_; }
 
  private:
-  enum class State { waiting, dialling, streaming };
+  enum class State { backing_off, connecting, streaming };
   struct Offer {
     std::uint64_t nonce = 0;  // 0: of a stream that is gone, nobody waits for an answer
     Version version;
   };
-  struct UnderWay {
+  struct InProgress {
     std::uint64_t ticket = 0;
     Offer offer;
-    bool keeping = false;  // passed the gate and goes to disk
-  };
-  struct Arriving {  // a version whose last part has not come
-    Delivery head;
-    Resources resources;
-    std::size_t bytes = 0;
-    Ms begun = 0;
+    bool persisting = false;  // valid, and on its way to disk
   };
 
-  void take(const Delivery& part, Ms now);
-  void offered(Offer offer, Ms now);
-  void examine(Offer offer);
-  void examine_waiting();
-  std::optional<Reason> out_of_place(const Version& v) const;
+  void handle(const Frame& frame, Ms now);
+  void handle_delivery(const Delivery& part, Ms now);
+  void consider(Offer offer);
+  void validate(Offer offer);
+  void consider_queued();
+  [[nodiscard]] std::optional<Reason> reason_against(const Version& version) const;
   void answer(std::uint64_t nonce, std::uint64_t number, Verdict verdict, std::vector<Reason> reasons);
-  void refuse_offer(const Offer& offer, std::vector<Reason> reasons);
-  void drop_under_way(const std::string& why);
+  void reject(const Offer& offer, std::vector<Reason> reasons);
+  void supersede(const Offer& offer, std::uint64_t newer);
+  void reject_pending(const std::string& why);
   void send(const Frame& frame, Ms now);
-  void hang_up(channel::RefuseCode code, const std::string& reason, Ms now);
-  void down(const std::string& reason, Ms now, Ms retry_after = 0);
-
-  ClientOptions o_;
-  pcg32 random_;
-  State state_ = State::waiting;
-  std::size_t endpoint_ = 0;
-  int failures_ = 0;
-  Ms dial_at_ = 0, heard_ = 0, sent_ = 0, opened_ = 0, now_ = 0;
-  bool lived_ = false;  // the present stream has said something
+  void end_stream(channel::RefuseCode code, const std::string& reason, Ms now);
+  void stream_ended(const std::string& reason, Ms now, Ms retry_after = 0);
+
+  ClientOptions options_;
+  ReconnectSchedule schedule_;
+  DeliveryAssembler assembler_;
+  State state_ = State::backing_off;
+  Ms now_;  // of the last call
+  Ms last_received_ = 0;
+  Ms last_sent_ = 0;
+  Ms connected_at_ = 0;
+  bool received_bytes_ = false;  // on this stream
   FrameParser parser_;
-  Version in_force_;
-  std::uint64_t newest_ = 0, last_ticket_ = 0, force_nonce_ = 0;
-  std::map<std::uint64_t, std::string> broken_;
+  Version active_;
+  std::uint64_t active_nonce_ = 0;  // of the delivery that was acked with it; 0: of another stream
+  std::uint64_t highest_number_;
+  std::uint64_t last_ticket_ = 0;
+  std::map<std::uint64_t, std::string> reverted_contents_;
   std::optional<std::uint64_t> pinned_;
-  std::optional<Version> delivered_;  // on this stream, taken or not: what a delta is on top of
-  std::optional<Arriving> arriving_;
-  std::optional<UnderWay> under_way_;
-  std::optional<Offer> waiting_;
+  std::optional<InProgress> in_progress_;
+  std::optional<Offer> queued_;
   std::vector<Effect> effects_;
   ClientCounters counters_;
 };
--- a/src/config_stream/wire.cpp
+++ b/src/config_stream/wire.cpp
@@ -21,6 +21,7 @@
 
 namespace {
 
+// What the types allow and the protocol does not; null: nothing.
 const char* fault(const Subscribe& x) {
   return x.magic != kMagic ? "not this protocol: the magic number differs" : nullptr;
 }
@@ -39,9 +40,9 @@
 }  // namespace
 
 std::uint64_t content_hash(const Resources& resources) {
-  base::Encoder e;
-  for (auto& [key, resource] : resources) e(key, resource.body);
-  return XXH3_64bits(e.bytes().data(), e.bytes().size());
+  base::Encoder encoder;
+  for (const auto& [key, resource] : resources) encoder(key, resource.body);
+  return XXH3_64bits(encoder.bytes().data(), encoder.bytes().size());
 }
 
 std::string to_string(const Reason& r) {
--- a/src/config_stream/wire.h
+++ b/src/config_stream/wire.h
@@ -1,8 +1,9 @@
-// What an assigner and a configuration service say to each other: resources by type and name in versions that
-// are answered. Where the xDS documents settle a question they are followed: a nonce a delivery, an answer
-// that echoes it and names the version in force, removed names beside changed resources, the held versions
-// told anew on each stream. Other than there, one delivery spans all types: it is one atomic change.
-// Pure: bytes in, frames out, and back. docs/protocol.md has the bytes.
+// What an assigner and a configuration service say to each other: resources by type and name, in versions that are
+// answered. Where the xDS documents settle a question they are followed: a nonce per delivery, an answer that echoes it
+// and names the active version, removed names beside changed resources, the held versions named anew on each stream.
+// Other than there, one delivery spans all types: it is one atomic change.
+//
+// Pure: bytes in, frames out, and back. docs/protocol.md has the bytes; the order of each type's fields below is theirs.
 #pragma once
 
 #include <cstdint>
@@ -17,27 +18,30 @@
 
 namespace beamshunt::config_stream {
 
-constexpr std::uint32_t kMagic = 0x42534346;  // "BSCF"
-constexpr std::uint16_t kVersion = 1;
+constexpr std::uint32_t kMagic =
+    0x42534346;                        // "BSCF": a peer of another protocol is told from a damaged frame
+constexpr std::uint16_t kVersion = 1;  // of the protocol
+
+// ---- Resources and versions ----
 
 struct Key {
   std::string type, name;
   auto operator<=>(const Key&) const = default;
 };
 struct Resource {
-  std::uint64_t version = 0;  // of the delivery that last changed it
+  std::uint64_t version = 0;  // number of the version that last changed it
   std::string body;           // settings, or what else its type holds
   bool operator==(const Resource&) const = default;
 };
 using Resources = std::map<Key, Resource>;
 
-// Of types, names and bodies: equal settings have equal hashes, however they came.
+// The XXH3 hash of types, names and bodies: equal settings have equal hashes, whichever deltas made them.
 std::uint64_t content_hash(const Resources& resources);
 
-// A whole version of all resources.
+// All resources of one version.
 struct Version {
   std::uint64_t number = 0;  // 0: none
-  std::uint64_t hash = 0;
+  std::uint64_t hash = 0;    // content_hash() of the resources
   Resources resources;
   bool operator==(const Version&) const = default;
 };
@@ -50,39 +54,49 @@
   std::string would_do;  // a value that would pass; empty: none is known
   bool operator==(const Reason&) const = default;
 };
+// "<rule>: <path>: <reason>; <would_do> would do", without the parts that are empty.
 std::string to_string(const Reason& reason);
 
-struct Subscribe {  // client to service, the first frame of a stream
+// ---- Frames ----
+
+// Client to service, the first frame of a stream.
+struct Subscribe {
   std::uint32_t magic = kMagic;
   std::uint16_t version = kVersion;
-  std::uint32_t instance = 0;
+  std::uint32_t instance = 0;      // the assigner's number
   std::string origin;              // whose versions are wanted: numbers of another origin mean nothing
-  std::vector<std::string> types;  // wanted; none: all
-  std::uint64_t held_number = 0, held_hash = 0;
+  std::vector<std::string> types;  // that are wanted; none: all
+  std::uint64_t held_number = 0;   // of the active version; 0: none
+  std::uint64_t held_hash = 0;
   std::map<Key, std::uint64_t> held;  // version of each resource held
   bool operator==(const Subscribe&) const = default;
 };
-struct Delivery {  // service to client; one version in `parts` frames
+// Service to client: one version, in `parts` frames with the same nonce.
+struct Delivery {
   std::uint64_t nonce = 0;
   std::string origin;
-  std::uint64_t number = 0, base = 0;  // base 0: a snapshot; else what is to be changed
-  std::uint64_t hash = 0;              // of the whole version once changed
-  std::uint32_t part = 0, parts = 1;
-  std::map<Key, std::string> changed;
+  std::uint64_t number = 0;
+  std::uint64_t base = 0;  // 0: a snapshot; else the version that this delta changes
+  std::uint64_t hash = 0;  // of the whole version once changed
+  std::uint32_t part = 0;  // from 0
+  std::uint32_t parts = 1;
+  std::map<Key, std::string> changed;  // to its body
   std::vector<Key> removed;
   bool operator==(const Delivery&) const = default;
 };
 enum class Verdict : std::uint8_t {
-  ack = 0,         // kept on disk and in force from the next turn on
-  nack = 1,        // not taken; the reasons say why
-  superseded = 2,  // a later one came before this one was looked at
+  ack = 0,         // on disk, and active from the next turn of the loop on
+  nack = 1,        // not accepted; the reasons say why
+  superseded = 2,  // a later version came before this one was validated
   resync = 3,      // does not fit what this side holds: a snapshot is needed
-  reverted = 4,    // was acked, and went back within its watch time
+  reverted = 4,    // was acked, and failed its trial
 };
+// Client to service: one for each delivery, and one more if the version is reverted.
 struct Answer {
-  std::uint64_t nonce = 0, number = 0;
+  std::uint64_t nonce = 0;   // of the delivery
+  std::uint64_t number = 0;  // of the version delivered
   Verdict verdict{};
-  std::uint64_t in_force = 0;
+  std::uint64_t in_force = 0;  // number of the active version
   std::vector<Reason> reasons;
   bool operator==(const Answer&) const = default;
 };
@@ -94,11 +108,15 @@
 
 std::string encode(const Frame& frame);
 
+// Frames from a byte stream, however it is cut.
 class FrameParser {
  public:
-  explicit FrameParser(std::size_t most_bytes) : framing_(most_bytes, std::variant_size_v<Frame>) {}
+  // `max_bytes`: of one frame; a longer one is refused before its payload is there.
+  explicit FrameParser(std::size_t max_bytes) : framing_(max_bytes, std::variant_size_v<Frame>) {}
   void push(std::string_view bytes) { framing_.push(bytes); }
-  std::optional<Frame> next();  // throws channel::Malformed
+  // The next whole frame, if there is one. Throws channel::Malformed, with the code for the peer and the offset in the
+  // stream; the stream is then at its end.
+  std::optional<Frame> next();
 
  private:
   channel::Framing framing_;
--- a/tests/config_stream/client_test.cpp
+++ b/tests/config_stream/client_test.cpp
@@ -1,3 +1,5 @@
+// The client against a service that the test plays, in simulated time: storms, breaks, rollbacks, hostile
+// services.
 #include "config_stream/client.h"
 
 #include <fmt/format.h>
@@ -17,17 +19,17 @@
 
 // A client and a service that only the test moves, over a wire of bytes.
 struct Wire {
-  ClientOptions options{.instance = 3, .origin = "ops", .endpoints = 2};
+  ClientOptions options{.instance = 3, .origin = "ops", .services = 2};
   Ms now = 1000;
   Client client;
   std::vector<Frame> sent;
-  std::vector<Check> checks;
-  std::vector<Keep> keeps;
+  std::vector<Validate> validations;
+  std::vector<Persist> persists;
   std::vector<Version> applied;
-  std::vector<Told> told;
-  std::vector<std::size_t> dialled;
-  int hung_up = 0;
-  bool gate_is_open = false;  // every check passes and every keep succeeds, at once
+  std::vector<Notify> notices;
+  std::vector<std::size_t> connects;
+  int closes = 0;
+  bool accept_all = false;  // every validation passes and every write to disk succeeds, at once
   std::uint64_t nonce = 0;
   FrameParser parser{1 << 20};
 
@@ -37,24 +39,24 @@
   void settle() {
     for (auto effects = client.take_effects(); !effects.empty(); effects = client.take_effects())
       for (Effect& e : effects) {
-        if (auto* s = std::get_if<Send>(&e)) {
+        if (auto* s = std::get_if<SendBytes>(&e)) {
           parser.push(s->bytes);
           while (auto f = parser.next()) sent.push_back(std::move(*f));
-        } else if (auto* d = std::get_if<Dial>(&e)) dialled.push_back(d->endpoint);
-        else if (std::get_if<HangUp>(&e)) ++hung_up;
-        else if (auto* c = std::get_if<Check>(&e)) {
-          checks.push_back(*c);
-          if (gate_is_open) client.checked(c->ticket, {}, now);
-        } else if (auto* k = std::get_if<Keep>(&e)) {
-          keeps.push_back(*k);
-          if (gate_is_open) client.kept(k->ticket, "", now);
+        } else if (auto* d = std::get_if<Connect>(&e)) connects.push_back(d->service);
+        else if (std::get_if<CloseAfterSending>(&e)) ++closes;
+        else if (auto* c = std::get_if<Validate>(&e)) {
+          validations.push_back(*c);
+          if (accept_all) client.on_validated(c->ticket, {}, now);
+        } else if (auto* k = std::get_if<Persist>(&e)) {
+          persists.push_back(*k);
+          if (accept_all) client.on_persisted(k->ticket, "", now);
         } else if (auto* a = std::get_if<Apply>(&e)) applied.push_back(a->version);
-        else told.push_back(std::get<Told>(e));
+        else notices.push_back(std::get<Notify>(e));
       }
   }
   void open() {
-    client.turn(now);
-    client.connected(now);
+    client.run_once(now);
+    client.on_connected(now);
     parser = FrameParser(1 << 20);
     settle();
   }
@@ -64,7 +66,7 @@
     return d;
   }
   void say(const Frame& f) {
-    client.bytes(encode(f), now);
+    client.on_bytes(encode(f), now);
     settle();
   }
   void offer(const Version& v) { say(snapshot(v)); }
@@ -77,6 +79,8 @@
   Answer last() const { return answers().back(); }
 };
 
+// An ack says that the version survives a kill. So it is validated, then persisted, and only then acked and
+// applied.
 TEST(ConfigClient, AVersionIsCheckedThenKeptThenAckedAndApplied) {
   Wire w;
   w.open();
@@ -84,14 +88,14 @@
   EXPECT_EQ(hello.held_number, 0u);
   EXPECT_EQ(hello.origin, "ops");
   w.offer(version(5, "a"));
-  ASSERT_EQ(w.checks.size(), 1u);
+  ASSERT_EQ(w.validations.size(), 1u);
   EXPECT_TRUE(w.answers().empty());
-  w.client.checked(w.checks[0].ticket, {}, w.now);
+  w.client.on_validated(w.validations[0].ticket, {}, w.now);
   w.settle();
-  ASSERT_EQ(w.keeps.size(), 1u);
+  ASSERT_EQ(w.persists.size(), 1u);
   EXPECT_TRUE(w.answers().empty()) << "acked before it was on disk";
   EXPECT_TRUE(w.applied.empty());
-  w.client.kept(w.keeps[0].ticket, "", w.now);
+  w.client.on_persisted(w.persists[0].ticket, "", w.now);
   w.settle();
   EXPECT_EQ(w.last().verdict, Verdict::ack);
   EXPECT_EQ(w.last().in_force, 5u);
@@ -99,12 +103,15 @@
   EXPECT_EQ(w.applied[0].number, 5u);
 }
 
+// A service offers a version that breaks a rule. It is told the reason, the field and a value that would
+// pass; the active version stays, and the next version is validated as if nothing had been.
 TEST(ConfigClient, ANackNamesReasonAndPathAndTheVersionInForceStays) {
   Wire w(version(4, "old"));
   w.open();
   EXPECT_EQ(std::get<Subscribe>(w.sent.at(0)).held.at({"limits", "site"}), 4u);
   w.offer(version(5, "bad"));
-  w.client.checked(w.checks[0].ticket, {{"rule 3", "site.guarantees.drain_grace", "too short", "2s"}}, w.now);
+  w.client.on_validated(w.validations[0].ticket,
+                        {{"rule 3", "site.guarantees.drain_grace", "too short", "2s"}}, w.now);
   w.settle();
   Answer a = w.last();
   EXPECT_EQ(a.verdict, Verdict::nack);
@@ -114,29 +121,34 @@
   EXPECT_EQ(a.reasons[0].would_do, "2s");
   EXPECT_TRUE(w.applied.empty());
   w.offer(version(6, "good"));  // and the next is looked at as if nothing had been
-  EXPECT_EQ(w.checks.size(), 2u);
+  EXPECT_EQ(w.validations.size(), 2u);
 }
 
+// The disk is full when a valid version is persisted. Were it applied, a restart would fall back to other
+// settings than the service believes: it is nacked, and taken later once there is room.
 TEST(ConfigClient, WhatTheDiskDoesNotTakeIsNotRunAndNacked) {
   Wire w;
   w.open();
   w.offer(version(5, "a"));
-  w.client.checked(w.checks[0].ticket, {}, w.now);
+  w.client.on_validated(w.validations[0].ticket, {}, w.now);
   w.settle();
-  w.client.kept(w.keeps[0].ticket, "No space left on device", w.now);
+  w.client.on_persisted(w.persists[0].ticket, "No space left on device", w.now);
   w.settle();
   EXPECT_EQ(w.last().verdict, Verdict::nack);
   EXPECT_NE(w.last().reasons[0].reason.find("No space left"), std::string::npos);
   EXPECT_TRUE(w.applied.empty());
-  EXPECT_EQ(w.client.newest(), 0u);
-  w.gate_is_open = true;
+  EXPECT_EQ(w.client.highest_number(), 0u);
+  w.accept_all = true;
   w.offer(version(5, "a"));
   EXPECT_EQ(w.last().verdict, Verdict::ack) << "the same version, once there is room";
 }
 
+// Deltas change only what they name. One whose base was not the last delivery, or whose result has another
+// hash than announced, would give settings that nobody wrote: the client asks for a snapshot and takes no
+// delta before one.
 TEST(ConfigClient, DeltasBuildOnWhatWasDeliveredAndOneThatDoesNotFitAsksForASnapshot) {
   Wire w;
-  w.gate_is_open = true;
+  w.accept_all = true;
   w.open();
   w.offer(version(5, "a", "classes"));
   Version six = version(6, "b", "classes");
@@ -173,15 +185,17 @@
   EXPECT_EQ(w.last().verdict, Verdict::ack);
 }
 
+// After a failover another service may be behind, repeat a version, give a number to other content, or serve
+// another origin. A repeat is acked without work; the others are nacked, each with its reason.
 TEST(ConfigClient, OlderRepeatedAndContradictingVersionsAreToldApart) {
   Wire w;
-  w.gate_is_open = true;
+  w.accept_all = true;
   w.open();
   w.offer(version(5, "a"));
-  std::size_t checks = w.checks.size();
+  std::size_t validations = w.validations.size();
   w.offer(version(5, "a"));
   EXPECT_EQ(w.last().verdict, Verdict::ack);
-  EXPECT_EQ(w.checks.size(), checks) << "a repeat costs nothing";
+  EXPECT_EQ(w.validations.size(), validations) << "a repeat costs nothing";
   w.offer(version(4, "old"));
   EXPECT_EQ(w.last().verdict, Verdict::nack);
   EXPECT_NE(w.last().reasons[0].reason.find("older"), std::string::npos);
@@ -193,9 +207,11 @@
   w.say(foreign);
   EXPECT_EQ(w.last().verdict, Verdict::nack);
   EXPECT_EQ(w.last().reasons[0].path, "origin");
-  EXPECT_EQ(w.client.in_force().number, 5u);
+  EXPECT_EQ(w.client.active().number, 5u);
 }
 
+// A service publishes a thousand versions while validation is slow. The latest one is active in the end, few
+// are validated, and each delivery is answered exactly once.
 TEST(ConfigClient, AStormIsCoalescedTheLatestWinsAndEachIsAnsweredOnce) {
   Wire w;
   w.open();
@@ -205,28 +221,29 @@
     w.offer(version(k, fmt::format("body {}", k)));
     if (k % 300 != 0) continue;  // the gate takes its time
     auto pass = [&] {
-      w.client.checked(w.checks.back().ticket, {}, w.now);
+      w.client.on_validated(w.validations.back().ticket, {}, w.now);
       w.settle();
-      w.client.kept(w.keeps.back().ticket, "", w.now);
+      w.client.on_persisted(w.persists.back().ticket, "", w.now);
       w.settle();
     };
     pass();
   }
   while (w.client.busy()) {
-    w.client.checked(w.checks.back().ticket, {}, w.now);
+    w.client.on_validated(w.validations.back().ticket, {}, w.now);
     w.settle();
-    w.client.kept(w.keeps.back().ticket, "", w.now);
+    w.client.on_persisted(w.persists.back().ticket, "", w.now);
     w.settle();
   }
   std::map<std::uint64_t, int> answered;
   for (auto& a : w.answers()) ++answered[a.nonce];
   EXPECT_EQ(answered.size(), kStorm);
   for (auto& [nonce, times] : answered) EXPECT_EQ(times, 1) << nonce;
-  EXPECT_EQ(w.client.in_force().number, kStorm);
-  EXPECT_LT(w.checks.size(), 10u);
+  EXPECT_EQ(w.client.active().number, kStorm);
+  EXPECT_LT(w.validations.size(), 10u);
 }
 
-// However a stream is cut, the state is that of a version before or after, and the next stream mends it.
+// The connection breaks in the middle of a delivery of two parts. Wherever it breaks, the active version is
+// the one before or the one after, and the next stream delivers it whole.
 TEST(ConfigClient, AStreamThatClosesAtAnyByteLeavesAWholeVersion) {
   Version old = version(4, "old", "classes"), next = version(5, "new", "other classes");
   std::string bytes;
@@ -241,79 +258,86 @@
   }
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     Wire w(old);
-    w.gate_is_open = true;
+    w.accept_all = true;
     w.open();
-    w.client.bytes(std::string_view(bytes).substr(0, cut), w.now);
+    w.client.on_bytes(std::string_view(bytes).substr(0, cut), w.now);
     w.settle();
-    EXPECT_EQ(w.client.in_force().number, cut == bytes.size() ? 5u : 4u) << cut;
-    w.client.closed("reset", w.now);
+    EXPECT_EQ(w.client.active().number, cut == bytes.size() ? 5u : 4u) << cut;
+    w.client.on_disconnected("reset", w.now);
     w.settle();
-    while (w.dialled.size() < 2) {
-      w.now = std::max(w.now + 1, w.client.next_due());
-      w.client.turn(w.now);
+    while (w.connects.size() < 2) {
+      w.now = std::max(w.now + 1, w.client.next_deadline());
+      w.client.run_once(w.now);
       w.settle();
     }
     w.open();
     w.offer(next);
-    EXPECT_EQ(w.client.in_force().hash, next.hash) << cut;
+    EXPECT_EQ(w.client.active().hash, next.hash) << cut;
     EXPECT_EQ(w.last().verdict, Verdict::ack) << cut;
   }
 }
 
+// The connection breaks while a version is validated, or while it is persisted. Validated ones are dropped
+// and offered again by the next stream; a persisted one is on disk, so it is applied.
 TEST(ConfigClient, AVersionUnderWayWhenTheStreamClosesIsOfferedAnew) {
   Wire w(version(4, "old"));
   w.open();
   w.offer(version(5, "new"));
-  w.client.closed("reset", w.now);
-  w.client.checked(w.checks[0].ticket, {}, w.now);  // too late: nobody asked for it any more
+  w.client.on_disconnected("reset", w.now);
+  w.client.on_validated(w.validations[0].ticket, {}, w.now);  // too late: nobody asked for it any more
   w.settle();
-  EXPECT_TRUE(w.keeps.empty());
-  w.now = w.client.next_due();
+  EXPECT_TRUE(w.persists.empty());
+  w.now = w.client.next_deadline();
   w.open();
   EXPECT_EQ(std::get<Subscribe>(w.sent.back()).held_number, 4u);
   w.offer(version(5, "new"));
-  w.client.checked(w.checks.back().ticket, {}, w.now);
+  w.client.on_validated(w.validations.back().ticket, {}, w.now);
   w.settle();
-  ASSERT_EQ(w.keeps.size(), 1u);
-  w.client.closed("reset", w.now);  // between disk and ack: it is kept, so it is run
-  w.client.kept(w.keeps[0].ticket, "", w.now);
+  ASSERT_EQ(w.persists.size(), 1u);
+  w.client.on_disconnected("reset", w.now);  // between disk and ack: it is kept, so it is run
+  w.client.on_persisted(w.persists[0].ticket, "", w.now);
   w.settle();
   EXPECT_EQ(w.applied.size(), 1u);
-  w.now = w.client.next_due();
+  w.now = w.client.next_deadline();
   w.open();
   EXPECT_EQ(std::get<Subscribe>(w.sent.back()).held_number, 5u);
 }
 
+// A person rolls back while a later version is validated and another is queued. Neither may become active
+// afterwards; both are nacked, and while the pin holds so is every other. Once it is lifted, what the pin
+// alone kept out is validated.
 TEST(ConfigClient, ARollbackWhileTheGateLooksDropsWhatItLooksAt) {
   Wire w(version(4, "old"));
   w.open();
   w.offer(version(5, "new"));
   w.offer(version(6, "newer"));
-  w.client.rolled_back(version(3, "older"), w.now);
-  w.client.pin(3, w.now);
-  w.client.checked(w.checks[0].ticket, {}, w.now);
+  w.client.roll_back_to(version(3, "older"), w.now);
+  w.client.set_pin(3, w.now);
+  w.client.on_validated(w.validations[0].ticket, {}, w.now);
   w.settle();
-  EXPECT_TRUE(w.keeps.empty());
-  EXPECT_EQ(w.client.in_force().number, 3u);
+  EXPECT_TRUE(w.persists.empty());
+  EXPECT_EQ(w.client.active().number, 3u);
   EXPECT_EQ(w.applied.back().number, 3u);
   ASSERT_EQ(w.answers().size(), 2u) << "both that were under way";
   for (auto& a : w.answers()) EXPECT_EQ(a.verdict, Verdict::nack);
   w.offer(version(7, "newest"));
   EXPECT_EQ(w.last().reasons.at(0).rule, "pinned");
-  w.client.pin(std::nullopt, w.now);  // what the pin alone kept out is looked at now
+  w.client.set_pin(std::nullopt, w.now);  // what the pin alone kept out is looked at now
   w.settle();
-  ASSERT_EQ(w.checks.size(), 2u);
-  EXPECT_EQ(w.checks.back().candidate.number, 7u);
+  ASSERT_EQ(w.validations.size(), 2u);
+  EXPECT_EQ(w.validations.back().candidate.number, 7u);
 }
 
+// A version was acked and then failed its trial. The service is told late, with the evidence, and the same
+// content is nacked under any number until a person allows it again.
 TEST(ConfigClient, AVersionThatGoesBackIsNackedLateAndItsContentIsNotTriedAgain) {
   Wire w(version(4, "old"));
-  w.gate_is_open = true;
+  w.accept_all = true;
   w.open();
   w.offer(version(5, "slow"));
-  ASSERT_EQ(w.client.in_force().number, 5u);
+  ASSERT_EQ(w.client.active().number, 5u);
   std::uint64_t acked = w.last().nonce;
-  w.client.went_back(version(4, "old"), {{"watch", "", "service fell from 0.99 to 0.61", ""}}, w.now);
+  w.client.revert_to(version(4, "old"), {{"watch", "", "service fell from 0.99 to 0.61", ""}}, w.now);
   w.settle();
   EXPECT_EQ(w.last().verdict, Verdict::reverted);
   EXPECT_EQ(w.last().nonce, acked);
@@ -323,77 +347,83 @@
   EXPECT_EQ(w.last().verdict, Verdict::nack);
   w.offer(version(6, "slow"));
   EXPECT_EQ(w.last().verdict, Verdict::nack) << "by its content, whatever its number";
-  w.client.forgive(version(6, "slow").hash);
+  w.client.allow_again(version(6, "slow").hash);
   w.offer(version(6, "slow"));
   EXPECT_EQ(w.last().verdict, Verdict::ack);
 }
 
+// A nack may have been due to the moment. After a restart the version is validated again, but not if its
+// content failed a trial in an earlier run.
 TEST(ConfigClient, ANackedVersionIsLookedAtAgainAfterARestart) {
   Version bad = version(5, "bad");
   for (int run = 0; run < 2; ++run) {
     Wire w(version(4, "old"), 4);
     w.open();
     w.offer(bad);
-    ASSERT_EQ(w.checks.size(), 1u);
-    w.client.checked(w.checks[0].ticket, {{"rule 5", "p", "r", ""}}, w.now);
+    ASSERT_EQ(w.validations.size(), 1u);
+    w.client.on_validated(w.validations[0].ticket, {{"rule 5", "p", "r", ""}}, w.now);
     w.settle();
     EXPECT_EQ(w.last().verdict, Verdict::nack);
   }
   Wire w(version(4, "old"), 5, {{bad.hash, "service fell"}});  // but not if it went back in an earlier run
   w.open();
   w.offer(bad);
-  EXPECT_TRUE(w.checks.empty());
+  EXPECT_TRUE(w.validations.empty());
   EXPECT_EQ(w.last().verdict, Verdict::nack);
 }
 
+// A broken service sends a version without bounds, a delivery that never ends, nothing at all, or a frame of
+// four gigabytes. Each costs its stream, in bounded time and memory, and nothing else.
 TEST(ConfigClient, HugeEndlessAndSilentServicesCostOnlyTheirStream) {
   {
     Wire w;
     w.open();
     Delivery d{.nonce = 1, .origin = "ops", .number = 5, .part = 0, .parts = 1000000};
-    for (std::uint32_t k = 0; w.hung_up == 0 && k < 100; ++k) {
+    for (std::uint32_t k = 0; w.closes == 0 && k < 100; ++k) {
       d.part = k;
       d.changed = {{{"limits", fmt::format("r{}", k)}, std::string(200000, 'x')}};
       w.say(d);
     }
-    EXPECT_EQ(w.hung_up, 1);
+    EXPECT_EQ(w.closes, 1);
     EXPECT_EQ(w.last().verdict, Verdict::nack);
     EXPECT_EQ(w.last().reasons[0].rule, "bounds");
-    EXPECT_TRUE(w.checks.empty());
+    EXPECT_TRUE(w.validations.empty());
   }
   {
     Wire w;
     w.open();
     Delivery d{.nonce = 1, .origin = "ops", .number = 5, .part = 0, .parts = 1000000};
-    for (std::uint32_t k = 0; w.hung_up == 0 && k < 2000; ++k) {  // a small part now and then, without end
+    for (std::uint32_t k = 0; w.closes == 0 && k < 2000; ++k) {  // a small part now and then, without end
       d.part = k;
       w.now += 50;
       w.say(d);
-      w.client.turn(w.now);
+      w.client.run_once(w.now);
       w.settle();
     }
-    EXPECT_EQ(w.hung_up, 1);
-    EXPECT_LE(w.now, 1000 + w.options.deliver_within + 100);
+    EXPECT_EQ(w.closes, 1);
+    EXPECT_LE(w.now, 1000 + w.options.delivery_timeout + 100);
   }
   {
     Wire w;
     w.open();
-    for (Ms end = w.now + 4000; w.now < end && w.hung_up == 0; w.now += 100) {
-      w.client.turn(w.now);
+    for (Ms end = w.now + 4000; w.now < end && w.closes == 0; w.now += 100) {
+      w.client.run_once(w.now);
       w.settle();
     }
-    EXPECT_EQ(w.hung_up, 1);
+    EXPECT_EQ(w.closes, 1);
     EXPECT_NEAR(w.now, 1000 + 3000, 150);
   }
   {
     Wire w;
     w.open();
-    w.client.bytes(std::string("\xff\xff\xff\xff\x02", 5), w.now);  // four gigabytes are announced
+    w.client.on_bytes(std::string("\xff\xff\xff\xff\x02", 5), w.now);  // four gigabytes are announced
     w.settle();
-    EXPECT_EQ(w.hung_up, 1);
+    EXPECT_EQ(w.closes, 1);
   }
 }
 
+// All services are down. They are tried in turn, the waits grow up to their limit, and two assigners do not
+// wait the same times: a fleet that dials in step would bring down the first service that returns.
 TEST(ConfigClient, EndpointsTakeTurnsWithWaitsThatGrowAndDiffer) {
   std::vector<Ms> waits[2];
   for (int who = 0; who < 2; ++who) {
@@ -403,67 +433,71 @@
     w.client = Client(o, {}, 0, {}, w.now);
     for (int k = 0; k < 12; ++k) {
       Ms before = w.now;
-      w.now = std::max(w.now, w.client.next_due());
+      w.now = std::max(w.now, w.client.next_deadline());
       waits[who].push_back(w.now - before);
-      w.client.turn(w.now);
+      w.client.run_once(w.now);
       w.settle();
-      w.client.closed("refused", w.now);
+      w.client.on_disconnected("refused", w.now);
       w.settle();
     }
-    ASSERT_EQ(w.dialled.size(), 12u);
-    for (std::size_t k = 0; k < 12; ++k) EXPECT_EQ(w.dialled[k], k % 2);
-    EXPECT_LE(waits[who].back(), o.backoff_most);
-    EXPECT_GE(waits[who].back(), o.backoff_most / 2);
-    EXPECT_LE(waits[who][1], o.backoff_least);
+    ASSERT_EQ(w.connects.size(), 12u);
+    for (std::size_t k = 0; k < 12; ++k) EXPECT_EQ(w.connects[k], k % 2);
+    EXPECT_LE(waits[who].back(), o.max_backoff);
+    EXPECT_GE(waits[who].back(), o.max_backoff / 2);
+    EXPECT_LE(waits[who][1], o.min_backoff);
   }
   EXPECT_NE(waits[0], waits[1]) << "a fleet must not dial in step";
 }
 
+// A valid version has to wait until it can be applied, and a later one comes. The later one is validated in
+// its place, and a late result for the first one changes nothing.
 TEST(ConfigClient, WhatPassedAndCannotRunYetGivesWayToALaterOne) {
   Wire w;
   w.open();
   w.offer(version(5, "a"));
-  EXPECT_FALSE(w.client.give_way(w.checks[0].ticket, w.now)) << "nothing waits";
+  EXPECT_FALSE(w.client.supersede_by_queued(w.validations[0].ticket, w.now)) << "nothing waits";
   w.offer(version(6, "b"));
-  EXPECT_TRUE(w.client.give_way(w.checks[0].ticket, w.now));
+  EXPECT_TRUE(w.client.supersede_by_queued(w.validations[0].ticket, w.now));
   w.settle();
   EXPECT_EQ(w.last().verdict, Verdict::superseded);
   EXPECT_EQ(w.last().number, 5u);
-  ASSERT_EQ(w.checks.size(), 2u);
-  EXPECT_EQ(w.checks[1].candidate.number, 6u);
-  w.client.checked(w.checks[0].ticket, {}, w.now);  // a verdict that comes too late
+  ASSERT_EQ(w.validations.size(), 2u);
+  EXPECT_EQ(w.validations[1].candidate.number, 6u);
+  w.client.on_validated(w.validations[0].ticket, {}, w.now);  // a verdict that comes too late
   w.settle();
-  EXPECT_TRUE(w.keeps.empty());
+  EXPECT_TRUE(w.persists.empty());
 }
 
+// The first service fails and the second one takes over. After a while the client ends that stream and tries
+// the first one again, so that the fleet does not stay on the spare.
 TEST(ConfigClient, TheFirstServiceIsComeBackTo) {
   Wire w;
   w.open();
   w.say(Ping{1});
-  w.client.closed("reset", w.now);  // it lived: it is tried first
-  w.now = w.client.next_due();
-  w.client.turn(w.now);
+  w.client.on_disconnected("reset", w.now);  // it lived: it is tried first
+  w.now = w.client.next_deadline();
+  w.client.run_once(w.now);
   w.settle();
-  EXPECT_EQ(w.dialled.back(), 0u);
-  w.client.closed("refused", w.now);
-  w.now = w.client.next_due();
-  w.client.turn(w.now);
+  EXPECT_EQ(w.connects.back(), 0u);
+  w.client.on_disconnected("refused", w.now);
+  w.now = w.client.next_deadline();
+  w.client.run_once(w.now);
   w.settle();
-  EXPECT_EQ(w.dialled.back(), 1u);
-  w.client.connected(w.now);
+  EXPECT_EQ(w.connects.back(), 1u);
+  w.client.on_connected(w.now);
   w.settle();
   Ms there = w.now;
-  while (w.hung_up == 0 && w.now < there + 100000) {
+  while (w.closes == 0 && w.now < there + 100000) {
     w.now += 500;
     w.say(Ping{1});
-    w.client.turn(w.now);
+    w.client.run_once(w.now);
     w.settle();
   }
-  EXPECT_NEAR(w.now - there, w.options.return_after, 1000);
-  w.now = w.client.next_due();
-  w.client.turn(w.now);
+  EXPECT_NEAR(w.now - there, w.options.failback_after, 1000);
+  w.now = w.client.next_deadline();
+  w.client.run_once(w.now);
   w.settle();
-  EXPECT_EQ(w.dialled.back(), 0u);
+  EXPECT_EQ(w.connects.back(), 0u);
 }
 
 }  // namespace
--- a/tests/stored_data/stored_data_test.cpp
+++ b/tests/stored_data/stored_data_test.cpp
@@ -12,7 +12,7 @@
 #include "assigner/list_feed.h"
 #include "base/archive.h"
 #include "base/file.h"
-#include "config_stream/store.h"
+#include "config_stream/version_store.h"
 #include "flight_record/replay.h"
 #include "telemetry/buffer.h"
 #include "telemetry/figures.h"
@@ -76,14 +76,14 @@
 TEST(StoredData, TheConfigurationHistoryHasTheSameVersions) {
   Scratch scratch("config");
   std::filesystem::copy_file(kFolder + "config/config.log", scratch.path() + "/config.log");
-  config_stream::Store store(config_stream::folder_disk(scratch.path()));
-  const config_stream::Ledger& ledger = store.ledger();
-  EXPECT_EQ(store.cut_bytes(), 0u);
-  EXPECT_EQ(ledger.records().size(), 34u);
-  EXPECT_EQ(ledger.newest(), 318u);
-  EXPECT_FALSE(ledger.pinned());
-  EXPECT_TRUE(ledger.broken().empty());
-  EXPECT_FALSE(ledger.on_trial());
+  config_stream::VersionStore store(config_stream::open_folder(scratch.path()));
+  const config_stream::VersionHistory& history = store.history();
+  EXPECT_EQ(store.torn_bytes(), 0u);
+  EXPECT_EQ(history.records().size(), 34u);
+  EXPECT_EQ(history.highest_number(), 318u);
+  EXPECT_FALSE(history.pinned());
+  EXPECT_TRUE(history.reverted_contents().empty());
+  EXPECT_FALSE(history.on_trial());
 
   struct Expected {
     std::uint64_t number, hash;
@@ -96,22 +96,22 @@
       {315, 12082691065585703803u, 2}, {318, 7767772513392262148u, 2},
   };
   for (const Expected& expected : versions) {
-    const config_stream::Version* found = ledger.version(expected.number);
+    const config_stream::Version* found = history.find_version(expected.number);
     ASSERT_NE(found, nullptr) << expected.number;
     EXPECT_EQ(found->hash, expected.hash) << expected.number;
     EXPECT_EQ(found->resources.size(), expected.resources) << expected.number;
     EXPECT_EQ(config_stream::content_hash(found->resources), expected.hash) << expected.number;
   }
-  ASSERT_NE(ledger.in_force(), nullptr);
-  EXPECT_EQ(ledger.in_force()->number, 318u);
-  ASSERT_NE(ledger.confirmed(), nullptr);
-  EXPECT_EQ(ledger.confirmed()->number, 318u);
-  const config_stream::Resource& limits = ledger.in_force()->resources.at({"limits", "site"});
+  ASSERT_NE(history.active(), nullptr);
+  EXPECT_EQ(history.active()->number, 318u);
+  ASSERT_NE(history.last_good(), nullptr);
+  EXPECT_EQ(history.last_good()->number, 318u);
+  const config_stream::Resource& limits = history.active()->resources.at({"limits", "site"});
   EXPECT_EQ(limits.body, "site: channel: delay_most: 205ms");
   EXPECT_EQ(limits.version, 315u);
 
-  const config_stream::Record& refused = ledger.records()[1];
-  EXPECT_EQ(refused.kind, config_stream::Record::Kind::refused);
+  const config_stream::HistoryRecord& refused = history.records()[1];
+  EXPECT_EQ(refused.kind, config_stream::HistoryRecord::Kind::refused);
   EXPECT_EQ(refused.wall_ms, 1796273192587);
   EXPECT_EQ(refused.number, 2u);
   EXPECT_EQ(refused.hash, 8649148068566799998u);
@@ -127,10 +127,10 @@
   std::string bytes = stored("config/config.log");
   Scratch source("config-source");
   std::filesystem::copy_file(kFolder + "config/config.log", source.path() + "/config.log");
-  config_stream::Store before(config_stream::folder_disk(source.path()));
+  config_stream::VersionStore before(config_stream::open_folder(source.path()));
   Scratch copy("config-copy");
-  config_stream::Store again(config_stream::folder_disk(copy.path()));
-  for (const config_stream::Record& record : before.ledger().compacted(1000, 1000)) again.add(record);
+  config_stream::VersionStore again(config_stream::open_folder(copy.path()));
+  for (const config_stream::HistoryRecord& record : before.history().compacted(1000, 1000)) again.add(record);
   EXPECT_TRUE(base::read_file(copy.path() + "/config.log") == bytes);
 }
 
