--- a/src/alerts/promql.cpp
+++ b/src/alerts/promql.cpp
@@ -12,7 +12,7 @@
 #include <tao/pegtl/contrib/limit_depth.hpp>
 #include <tao/pegtl/contrib/parse_tree.hpp>
 
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt::alerts {
 
--- a/src/alerts/rules.cpp
+++ b/src/alerts/rules.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt::alerts {
 namespace {
@@ -261,9 +261,9 @@
 
 telemetry::Scrape all_exported() {
   telemetry::Exporter exporter(telemetry::Labels{{"instance", "0"}});
-  telemetry::Figures figures;
+  telemetry::AssignerMetrics figures;
   figures.service.push_back({"north", "read"});
-  figures.levels.push_back({"read"});
+  figures.admission_limits.push_back({"read"});
   return exporter.scrape(figures, 1);
 }
 
--- a/src/assigner/config_feed.cpp
+++ b/src/assigner/config_feed.cpp
@@ -388,10 +388,10 @@
   reactor_.at(reactor_.now() + kLookEvery, [this, alive = alive_] {
     if (*alive) look();
   });
-  telemetry::Figures f = host_.figures();
+  telemetry::AssignerMetrics f = host_.figures();
   served_.note(f);
   if (!watch_) {
-    margins_ = f.rules;
+    margins_ = f.rule_usage;
     return;
   }
   switch (watch_->look(f, reactor_.now())) {
@@ -497,7 +497,7 @@
   return out.dump();
 }
 
-void ConfigFeed::fill(telemetry::Figures& figures) const {
+void ConfigFeed::fill(telemetry::AssignerMetrics& figures) const {
   const config_stream::ClientCounters& c = client_.counters();
   figures.config_version = static_cast<double>(client_.active().number);
   figures.config_streaming = client_.streaming();
--- a/src/assigner/config_feed.h
+++ b/src/assigner/config_feed.h
@@ -35,7 +35,7 @@
   struct Host {
     std::function<Fleet()> fleet;
     std::function<const Site&()> site;  // that runs
-    std::function<telemetry::Figures()> figures;
+    std::function<telemetry::AssignerMetrics()> figures;
     std::function<bool(const Site&)> may_apply;
     std::function<void(const Site&, const config_stream::Version&)> apply;
     std::function<void(log::Level, const std::string& event, const log::Fields&)> say;
@@ -52,7 +52,7 @@
   void unpin(Done done);
   void forgive(std::uint64_t number, Done done);
   std::string status_json() const;
-  void fill(telemetry::Figures& figures) const;
+  void fill(telemetry::AssignerMetrics& figures) const;
   std::string alerts() const;  // rules in force, as files of Prometheus' format, one after the other
 
  private:
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -740,12 +740,12 @@
   return oldest / site_.policy.drain_grace_period.count();
 }
 
-telemetry::Figures Core::figures(Ms now) {
+telemetry::AssignerMetrics Core::figures(Ms now) {
   const Settings& p = site_.policy;
-  telemetry::Figures f;
-  f.backlog_lines = waiting_lines();
-  f.backlog_most = p.max_queued_lines;
-  f.messages_allowed = p.max_messages_per_window;
+  telemetry::AssignerMetrics f;
+  f.queued_lines = waiting_lines();
+  f.max_queued_lines = p.max_queued_lines;
+  f.max_messages_per_window = p.max_messages_per_window;
   double most_messages = 0;
   Ms emptiest = 0;
   std::set<ProxyId> lacking;  // bound to a table that has no lines
@@ -756,9 +756,10 @@
   for (auto& [proxy, id] : proxies_) {
     Stream& s = streams_.at(id);
     if (!s.unconfirmed.empty())
-      f.backlog_age_s = std::max(f.backlog_age_s, (now - s.unconfirmed.front().decided) / 1000);
-    f.messages.push_back(static_cast<double>(spent(s, now, p.message_window.count())));
-    most_messages = std::max(most_messages, f.messages.back());
+      f.oldest_unacknowledged_s =
+          std::max(f.oldest_unacknowledged_s, (now - s.unconfirmed.front().decided) / 1000);
+    f.messages_in_window.push_back(static_cast<double>(spent(s, now, p.message_window.count())));
+    most_messages = std::max(most_messages, f.messages_in_window.back());
     if (!lacking.contains(proxy)) s.empty_since = -1;
     else if (s.empty_since < 0) s.empty_since = now;
     if (s.empty_since >= 0) emptiest = std::max(emptiest, now - s.empty_since);
@@ -766,16 +767,16 @@
   for (std::uint32_t z = 0; z < p.localities.size(); ++z)
     for (std::uint32_t c = 0; c < p.classes.size(); ++c) {
       auto sum = service_.find({z, c});
-      telemetry::Figures::Service s{
+      telemetry::AssignerMetrics::ServiceCounts s{
           p.localities[z], site_.class_names[c], 0, 0, 0, p.classes[c].priority_weight};
       if (sum != service_.end())
-        s.came = sum->second.came, s.unanswered = sum->second.unanswered, s.in_time = sum->second.in_time;
+        s.arrivals = sum->second.came, s.failed = sum->second.unanswered, s.in_time = sum->second.in_time;
       f.service.push_back(std::move(s));
     }
   bool unproven = false;
   for (std::uint32_t c = 0; c < p.classes.size(); ++c) {
-    telemetry::Figures::Level level{site_.class_names[c],
-                                    p.admission_limit_kind == AdmissionLimitKind::rate ? 1e6 : 1, cuts_[c]};
+    telemetry::AssignerMetrics::AdmissionLimits level{
+        site_.class_names[c], p.admission_limit_kind == AdmissionLimitKind::rate ? 1e6 : 1, cuts_[c]};
     for (auto& [number, module] : modules_)
       for (auto& [id, table] : module.tables.all())
         if (auto l = table.levels.find(ClassId{c}); l != table.levels.end()) {
@@ -783,19 +784,19 @@
           unproven |= p.classes[c].semantics != Semantics::idempotent &&
                       l->second.second > RetryMode::if_not_processed;
         }
-    f.levels.push_back(std::move(level));
+    f.admission_limits.push_back(std::move(level));
   }
   f.ejections = ejections_;
-  f.list_age_s = std::max(0.0, now - list_heard_) / 1000;
-  f.list_entries = static_cast<double>(book_.all().size());
-  f.report_wait_s = intake_.oldest(now) / 1000;
+  f.endpoint_list_age_s = std::max(0.0, now - list_heard_) / 1000;
+  f.listed_endpoints = static_cast<double>(book_.all().size());
+  f.longest_report_wait_s = intake_.oldest(now) / 1000;
   f.reports = counters_.reports, f.events = counters_.events, f.actions = counters_.actions;
-  f.orders = counters_.messages, f.refused_streams = counters_.refused_streams;
-  f.broken_streams = counters_.broken_streams, f.dropped_messages = counters_.dropped_messages;
+  f.updates = counters_.messages, f.rejected_streams = counters_.refused_streams;
+  f.broken_streams = counters_.broken_streams, f.dropped_updates = counters_.dropped_messages;
   f.streams = static_cast<double>(streams_.size()), f.proxies = static_cast<double>(proxies_.size());
   double messages_used = p.max_messages_per_window > 0 ? most_messages / p.max_messages_per_window : 0;
-  f.rules = {emptiest / p.max_time_without_endpoints.count(), unproven ? 1.0 : 0.0, drain_used(now),
-             cold_used(now), std::max(f.backlog_lines / p.max_queued_lines, messages_used)};
+  f.rule_usage = {emptiest / p.max_time_without_endpoints.count(), unproven ? 1.0 : 0.0, drain_used(now),
+                  cold_used(now), std::max(f.queued_lines / p.max_queued_lines, messages_used)};
   return f;
 }
 
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -21,7 +21,7 @@
 #include "channel/frames.h"
 #include "log/log.h"
 #include "orders/tables.h"
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt::assigner {
 
@@ -130,7 +130,7 @@
   Fleet fleet(Ms now) const;
   std::string list_bytes() const { return book_.to_bytes(); }
   std::string status_json(Ms now) const;
-  telemetry::Figures figures(Ms now);
+  telemetry::AssignerMetrics figures(Ms now);
 
  private:
   struct Sent {
--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -302,11 +302,11 @@
   void open_writer() {
     writer_.reset();
     if (!site_.remote_write) return;
-    writer_ = std::make_unique<telemetry::Writer>(
+    writer_ = std::make_unique<telemetry::RemoteWriter>(
         reactor_, *site_.remote_write,
         [this] {
-          telemetry::Figures f = core_.figures(reactor_.now());
-          f.loop_lag_s = reactor_.take_longest_turn() / 1000;
+          telemetry::AssignerMetrics f = core_.figures(reactor_.now());
+          f.longest_turn_s = reactor_.take_longest_turn() / 1000;
           if (feed_) feed_->fill(f);
           return f;
         },
@@ -419,7 +419,7 @@
   std::optional<net::Reactor::TimerId> timer_;
   net::Fd record_;
   std::atomic<bool> record_lost_ = false;
-  std::unique_ptr<telemetry::Writer> writer_;
+  std::unique_ptr<telemetry::RemoteWriter> writer_;
   std::unique_ptr<ConfigFeed> feed_;
   bool figures_sent_ = false;
   bool list_changed_ = false, saving_list_ = false, turn_due_ = false, stopping_ = false;
--- a/src/assigner/site.cpp
+++ b/src/assigner/site.cpp
@@ -95,8 +95,8 @@
   return credentials.string("kind") == "bearer" ? "Bearer " + *secret : "Basic " + base64(*secret);
 }
 
-telemetry::WriterSettings read_remote_write(const Tree& tree, const Site& site) {
-  telemetry::WriterSettings out;
+telemetry::RemoteWriterSettings read_remote_write(const Tree& tree, const Site& site) {
+  telemetry::RemoteWriterSettings out;
   const Tree& url = tree.at("url");
   std::size_t host = url.text.find("://") + 3, path = url.text.find('/', host);
   out.host = url.text.substr(host, path - host);
@@ -104,13 +104,13 @@
   auto receiver = net::parse_address(out.host);
   if (!receiver) refuse(url, "remote_write.url", "'" + out.host + "' is no address such as 127.0.0.1:9090");
   out.receiver = *receiver;
-  out.from = {site.channel.ip, 0};
-  out.interval = tree.real("interval"), out.timeout = tree.real("timeout");
-  out.external.emplace_back("instance", std::to_string(site.instance));
+  out.local_address = {site.channel.ip, 0};
+  out.scrape_interval = tree.real("interval"), out.request_timeout = tree.real("timeout");
+  out.external_labels.emplace_back("instance", std::to_string(site.instance));
   for (const Tree& label : tree.at("external").items) {
-    for (auto& [name, value] : out.external)
+    for (auto& [name, value] : out.external_labels)
       if (name == label.string("name")) refuse(label, "remote_write.external", "a label is given twice");
-    out.external.emplace_back(label.string("name"), label.string("value"));
+    out.external_labels.emplace_back(label.string("name"), label.string("value"));
   }
   if (url.text.starts_with("https")) {
     try {
@@ -123,8 +123,8 @@
   out.sender.shards = static_cast<std::size_t>(tree.whole("shards"));
   out.sender.batch_samples = static_cast<std::size_t>(tree.at("batch").whole("samples"));
   out.sender.batch_wait = tree.at("batch").real("wait");
-  out.sender.backoff_least = tree.at("backoff").real("least");
-  out.sender.backoff_most = tree.at("backoff").real("most");
+  out.sender.min_backoff = tree.at("backoff").real("least");
+  out.sender.max_backoff = tree.at("backoff").real("most");
   out.sender.seed = site.policy.seed;
   const Tree& buffer = tree.at("buffer");
   out.buffer.bytes = static_cast<std::uint64_t>(buffer.real("bytes"));
--- a/src/assigner/site.h
+++ b/src/assigner/site.h
@@ -11,7 +11,7 @@
 #include "config/value.h"
 #include "net/address.h"
 #include "policy/controller.h"
-#include "telemetry/writer.h"
+#include "telemetry/remote_writer.h"
 
 namespace beamshunt::assigner {
 
@@ -38,7 +38,7 @@
   std::size_t most_streams = 0, most_unsent = 0, most_frame = 0;
   double report_lines_per_s = 0;  // given to the module at most
   Ms probe_timeout = 0, list_quiet = 0;
-  std::optional<telemetry::WriterSettings> remote_write{};
+  std::optional<telemetry::RemoteWriterSettings> remote_write{};
   struct Control {
     std::string origin;
     std::vector<net::Address> services;
--- a/src/assigner/watch.cpp
+++ b/src/assigner/watch.cpp
@@ -10,13 +10,13 @@
 
 }  // namespace
 
-void ServedPart::note(const telemetry::Figures& figures) {
+void ServedPart::note(const telemetry::AssignerMetrics& figures) {
   Sum sum;
   for (const auto& s : figures.service) {
     // What was answered too late or not at all is told as it ends: a request counts when it comes.
-    sum.requests += static_cast<double>(s.came);
-    sum.worth += s.worth * static_cast<double>(s.came);
-    sum.served += s.worth * static_cast<double>(s.in_time);
+    sum.requests += static_cast<double>(s.arrivals);
+    sum.worth += s.priority_weight * static_cast<double>(s.arrivals);
+    sum.served += s.priority_weight * static_cast<double>(s.in_time);
   }
   sums_.push_back(sum);
   if (sums_.size() > kMostLooks) sums_.pop_front();
@@ -39,7 +39,7 @@
   return from ? sums_.back().requests - from->requests : 0;
 }
 
-Watch::State Watch::look(const telemetry::Figures& figures, Ms now) {
+Watch::State Watch::look(const telemetry::AssignerMetrics& figures, Ms now) {
   served_.note(figures);
   auto service = served_.value();
   low_ = before_ && service && *service < *before_ - limits_.service_drop ? low_ + 1 : 0;
@@ -49,12 +49,12 @@
          fmt::format("the part served in time fell from {:.3f} to {:.3f} over {:.0f} requests", *before_,
                      *service, served_.requests()),
          ""});
-  for (std::size_t k = 0; k < figures.rules.size(); ++k) {
-    over_[k] = figures.rules[k] >= 1 && margins_[k] < 1 ? over_[k] + 1 : 0;
+  for (std::size_t k = 0; k < figures.rule_usage.size(); ++k) {
+    over_[k] = figures.rule_usage[k] >= 1 && margins_[k] < 1 ? over_[k] + 1 : 0;
     if (over_[k] >= kLooksInARow)
       evidence_.push_back(
           {fmt::format("rule {}", k + 1), "",
-           fmt::format("came to {:.2f} of its limit, from {:.2f}", figures.rules[k], margins_[k]), ""});
+           fmt::format("came to {:.2f} of its limit, from {:.2f}", figures.rule_usage[k], margins_[k]), ""});
   }
   if (!evidence_.empty()) return State::broken;
   return now - begun_ >= limits_.time ? State::passed : State::watching;
--- a/src/assigner/watch.h
+++ b/src/assigner/watch.h
@@ -8,7 +8,7 @@
 
 #include "base/time.h"
 #include "config_stream/wire.h"
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt::assigner {
 
@@ -18,7 +18,7 @@
 class ServedPart {
  public:
   explicit ServedPart(double least_requests) : least_(least_requests) {}
-  void note(const telemetry::Figures& figures);  // of the same core, in order of time
+  void note(const telemetry::AssignerMetrics& figures);  // of the same core, in order of time
   // Over the shortest stretch of looks that has enough requests; nothing while there are too few.
   std::optional<double> value() const;
   double requests() const;  // that value() is made of
@@ -43,7 +43,7 @@
   // `before`: served then, if it is known; `margins`: how near each rule was to its limit.
   Watch(Limits limits, std::optional<double> before, const std::array<double, 5>& margins, Ms now)
       : limits_(limits), before_(before), margins_(margins), begun_(now), served_(limits.least_requests) {}
-  State look(const telemetry::Figures& figures, Ms now);
+  State look(const telemetry::AssignerMetrics& figures, Ms now);
   const std::vector<config_stream::Reason>& evidence() const { return evidence_; }
 
  private:
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -35,7 +35,7 @@
   void reconfigure(const assigner::Site& to, std::uint64_t version, std::uint64_t hash, Ms now) override {
     core_.reconfigure(to, version, hash, now);
   }
-  std::optional<telemetry::Figures> figures(Ms now) override { return core_.figures(now); }
+  std::optional<telemetry::AssignerMetrics> figures(Ms now) override { return core_.figures(now); }
   void turn(Ms now) override { core_.turn(now); }
   Ms next_due() const override { return core_.next_due(); }
   std::vector<assigner::Effect> take_effects() override { return core_.take_effects(); }
--- a/src/emulator/host.h
+++ b/src/emulator/host.h
@@ -46,7 +46,7 @@
   // Other settings, as of assigner::Core; a baseline has none that may change.
   virtual bool may_reconfigure(const assigner::Site&, Ms) const { return false; }
   virtual void reconfigure(const assigner::Site&, std::uint64_t, std::uint64_t, Ms) {}
-  virtual std::optional<telemetry::Figures> figures(Ms) { return std::nullopt; }
+  virtual std::optional<telemetry::AssignerMetrics> figures(Ms) { return std::nullopt; }
   virtual void turn(Ms now) = 0;
   virtual Ms next_due() const = 0;
   virtual std::vector<assigner::Effect> take_effects() = 0;
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -19,7 +19,7 @@
 #include "standin/control.h"
 #include "standin/list.h"
 #include "standin/receiver.h"
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt::measure {
 namespace {
--- a/src/measure/metrics.cpp
+++ b/src/measure/metrics.cpp
@@ -10,8 +10,8 @@
 #include "base/time.h"
 #include "measure/measure.h"
 #include "telemetry/buffer.h"
-#include "telemetry/figures.h"
-#include "telemetry/wire.h"
+#include "telemetry/exporter.h"
+#include "telemetry/remote_write.h"
 
 namespace beamshunt::measure {
 namespace {
@@ -78,8 +78,8 @@
   fmt::print("buffer,samples a second,{:.0f}\n", append);
   fmt::print("buffer,bytes a sample on disk,{:.1f}\n", bytes);
   Exporter exporter(Labels{{"instance", "0"}});
-  Figures figures;
-  figures.messages.assign(1000, 5);
+  AssignerMetrics figures;
+  figures.messages_in_window.assign(1000, 5);
   for (int z = 0; z < 3; ++z)
     for (int c = 0; c < 3; ++c) figures.service.push_back({std::to_string(z), std::to_string(c), 1, 0, 1, 1});
   double looks = rate(seconds, [&] { exporter.scrape(figures, 1); });
--- a/src/standin/receiver.cpp
+++ b/src/standin/receiver.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "telemetry/figures.h"
-#include "telemetry/wire.h"
+#include "telemetry/exporter.h"
+#include "telemetry/remote_write.h"
 
 namespace beamshunt::standin {
 namespace {
@@ -68,7 +68,7 @@
       if (k > 0 && run.labels[k - 1].first >= run.labels[k].first) return "labels not sorted, or given twice";
     }
     for (std::size_t k = 1; k < run.samples.size(); ++k)
-      if (run.samples[k].first <= run.samples[k - 1].first) return "samples out of order within a request";
+      if (run.samples[k].at_ms <= run.samples[k - 1].at_ms) return "samples out of order within a request";
   }
   for (const telemetry::SeriesRun& run : *series)
     for (auto& [at, value] : run.samples) {
--- a/src/telemetry/scrape.h
+++ b/src/telemetry/scrape.h
@@ -1,4 +1,4 @@
-// Samples as they are kept and sent: a scrape is every series' value at one instant.
+// Samples as they are kept and sent: a scrape is the value of every series at one instant. Pure.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,9 @@
 
 namespace beamshunt::telemetry {
 
-using Labels = std::vector<std::pair<std::string, std::string>>;  // sorted by name, "__name__" among them
-
-// The instant of the next scrape: the wall clock's, but always after the last one, for time may step back
-// and a series' samples may not.
-std::int64_t next_stamp(std::int64_t last_ms, double wall_ms);
+// Name and value of each label, sorted by name; the metric's name is the value of kName.
+using Labels = std::vector<std::pair<std::string, std::string>>;
+inline const char* const kName = "__name__";
 
 struct Point {
   Labels labels;
@@ -24,11 +22,19 @@
   std::vector<Point> points;
 };
 
-inline const char* const kName = "__name__";
+// The instant of the next scrape, in ms since 1970: the wall clock's, but always after the last one. The wall
+// clock may step back, and a receiver refuses a sample that is not newer than the last one of its series.
+std::int64_t next_stamp(std::int64_t last_ms, double wall_ms);
+
 // The label's value; empty if there is none.
 const std::string& label_of(const Labels& labels, const std::string& name);
 
-// "name{a="b"}", for people and as a key.
+// `name{a="b"}`, for people and as a key.
 std::string to_string(const Labels& labels);
 
+// The NaN that says, by Prometheus' specification, that a series has ended.
+double stale_marker();
+// Whether `value` is that NaN, bit for bit: other NaNs are values.
+bool is_stale_marker(double value);
+
 }  // namespace beamshunt::telemetry
--- a/src/telemetry/sender.cpp
+++ b/src/telemetry/sender.cpp
@@ -6,114 +6,154 @@
 #include <cmath>
 #include <map>
 #include <random>
+#include <utility>
 
 namespace beamshunt::telemetry {
 namespace {
 
-constexpr int kMostDoublings = 20;
+constexpr int kMaxDoublings = 20;  // any longer wait is at max_backoff
+constexpr double kMinPart = 0.5;   // of a wait, so that jitter never removes the backoff
+
+// Statuses of HTTP.
+constexpr int kOk = 200;
+constexpr int kRedirect = 300;
+constexpr int kClientError = 400;
+constexpr int kTooManyRequests = 429;
+constexpr int kServerError = 500;
 
 std::uint64_t hash(const Labels& labels) {
-  std::uint64_t h = 0;
-  for (auto& [name, value] : labels) {
-    h = XXH3_64bits_withSeed(name.data(), name.size(), h);
-    h = XXH3_64bits_withSeed(value.data(), value.size(), h);
+  std::uint64_t out = 0;
+  for (const auto& [name, value] : labels) {
+    out = XXH3_64bits_withSeed(name.data(), name.size(), out);
+    out = XXH3_64bits_withSeed(value.data(), value.size(), out);
   }
-  return h;
+  return out;
+}
+
+bool is_success(int status) { return status >= kOk && status < kRedirect; }
+
+// Whether the same request may be taken later: overload, a fault of the receiver, a redirect. Any other
+// status says that the request itself is wrong.
+bool is_worth_retry(int status) {
+  return status == kTooManyRequests || status >= kServerError || status < kClientError;
 }
 
 }  // namespace
 
-Sender::Sender(SenderSettings settings) : set_(settings), random_(settings.seed) {
-  shards_.resize(std::max<std::size_t>(1, set_.shards));
-  for (Shard& s : shards_) s.most = set_.batch_samples;
+Sender::Sender(SenderSettings settings) : settings_(settings), random_(settings.seed) {
+  shards_.resize(std::max<std::size_t>(1, settings_.shards));
+  for (Shard& shard : shards_) shard.max_batch = settings_.batch_samples;
 }
 
-std::size_t Sender::room() const { return held_.size() < set_.window ? set_.window - held_.size() : 0; }
+std::size_t Sender::capacity() const {
+  return pending_.size() < settings_.window ? settings_.window - pending_.size() : 0;
+}
 
-void Sender::give(Position end, const Scrape& scrape, Ms now) {
-  auto held = std::make_shared<Held>(Held{end, scrape.points.size()});
-  held_.push_back(held);
-  for (const Point& p : scrape.points)
-    shards_[hash(p.labels) % shards_.size()].items.push_back({held, p.labels, scrape.at_ms, p.value, now});
+void Sender::enqueue(Position end, const Scrape& scrape, Ms now) {
+  auto pending = std::make_shared<PendingScrape>(PendingScrape{end, scrape.points.size()});
+  pending_.push_back(pending);
+  // A series always goes by the same shard, which keeps its order: a receiver refuses samples out of order.
+  for (const Point& point : scrape.points) {
+    Shard& shard = shards_[hash(point.labels) % shards_.size()];
+    shard.items.push_back({pending, point.labels, scrape.at_ms, point.value, now});
+  }
 }
 
-std::vector<Sender::Post> Sender::due(Ms now) {
-  std::vector<Post> out;
+std::vector<Sender::Request> Sender::take_due_requests(Ms now) {
+  std::vector<Request> out;
   for (std::size_t k = 0; k < shards_.size(); ++k) {
-    Shard& s = shards_[k];
-    if (ready_at(s) > now) continue;
-    s.in_flight = std::min(s.items.size(), s.most);
-    // A series' samples of several scrapes go as one run, oldest first; the shard's order keeps them so.
-    std::map<Labels, SeriesRun> runs;
-    for (std::size_t i = 0; i < s.in_flight; ++i) {
-      SeriesRun& run = runs[s.items[i].labels];
-      run.labels = s.items[i].labels;
-      run.samples.emplace_back(s.items[i].at_ms, s.items[i].value);
-    }
-    std::vector<SeriesRun> series;
-    for (auto& [labels, run] : runs) series.push_back(std::move(run));
-    out.push_back({k, encode_request(series)});
+    Shard& shard = shards_[k];
+    if (ready_at(shard) > now) continue;
+    shard.in_flight = std::min(shard.items.size(), shard.max_batch);
+    out.push_back({k, encode_request(series_in_flight(shard))});
   }
   return out;
 }
 
-Ms Sender::ready_at(const Shard& s) const {
-  if (s.in_flight > 0 || s.items.empty()) return base::kNever;
-  return s.items.size() >= s.most ? s.not_before
-                                  : std::max(s.not_before, s.items.front().given + set_.batch_wait);
+// A series' samples of several scrapes go as one run, oldest first, as the shard's order has them.
+std::vector<SeriesRun> Sender::series_in_flight(const Shard& shard) {
+  std::map<Labels, SeriesRun> runs;
+  for (std::size_t k = 0; k < shard.in_flight; ++k) {
+    const Item& item = shard.items[k];
+    SeriesRun& run = runs[item.labels];
+    run.labels = item.labels;
+    run.samples.push_back({item.at_ms, item.value});
+  }
+  std::vector<SeriesRun> series;
+  for (auto& [labels, run] : runs) series.push_back(std::move(run));
+  return series;
 }
 
-Ms Sender::next_due() const {
-  Ms due = base::kNever;
-  for (const Shard& s : shards_) due = std::min(due, ready_at(s));
-  return due;
+Ms Sender::ready_at(const Shard& shard) const {
+  if (shard.in_flight > 0 || shard.items.empty()) return base::kNever;
+  bool is_full = shard.items.size() >= shard.max_batch;
+  if (is_full) return shard.not_before;
+  return std::max(shard.not_before, shard.items.front().enqueued_at + settings_.batch_wait);
 }
 
-void Sender::answered(std::size_t k, int status, Ms retry_after, Ms now) {
-  Shard& s = shards_[k];
-  if (s.in_flight == 0) return;
-  if (status >= 200 && status < 300) {
-    sent_ += s.in_flight;
-    done(s, s.in_flight);
-    s.most = std::min(set_.batch_samples, s.most * 2);
-    s.attempts = 0, s.not_before = now;
-    return;
+Ms Sender::next_deadline() const {
+  Ms deadline = base::kNever;
+  for (const Shard& shard : shards_) deadline = std::min(deadline, ready_at(shard));
+  return deadline;
+}
+
+void Sender::on_response(std::size_t k, int status, Ms retry_after, Ms now) {
+  Shard& shard = shards_[k];
+  if (shard.in_flight == 0) return;
+  if (is_success(status)) {
+    sent_samples_ += shard.in_flight;
+    release(shard, shard.in_flight);
+    shard.max_batch = std::min(settings_.batch_samples, shard.max_batch * 2);
+  } else {
+    ++failed_requests_;
+    if (is_worth_retry(status)) return back_off(shard, retry_after, now);
+    split_rejected(shard);
   }
-  ++failures_;
-  if (status == 429 || status >= 500 || status < 400) return back_off(s, retry_after, now);
-  // The receiver will never take this batch. Halve it until the one sample that it refuses stands alone, and
-  // give that one up: what came with it must not go with it.
-  if (s.in_flight == 1) {
-    ++refused_;
-    done(s, 1);
+  shard.failures = 0;
+  shard.not_before = now;
+}
+
+// The receiver will never take this batch. It is halved until the one sample that it rejects stands alone,
+// and that one is given up: what came with it must not go with it.
+void Sender::split_rejected(Shard& shard) {
+  if (shard.in_flight == 1) {
+    ++rejected_samples_;
+    release(shard, 1);
   } else {
-    s.most = s.in_flight / 2;
+    shard.max_batch = shard.in_flight / 2;
   }
-  s.in_flight = 0;
-  s.attempts = 0, s.not_before = now;
+  shard.in_flight = 0;
 }
 
-void Sender::failed(std::size_t k, Ms now) {
+void Sender::on_no_response(std::size_t k, Ms now) {
   if (shards_[k].in_flight == 0) return;
-  ++failures_;
+  ++failed_requests_;
   back_off(shards_[k], -1, now);
 }
 
-void Sender::back_off(Shard& s, Ms retry_after, Ms now) {
-  double times = std::exp2(std::min(s.attempts++, kMostDoublings));
-  Ms wait = std::min(set_.backoff_most, set_.backoff_least * times);
-  wait *=
-      std::uniform_real_distribution<double>(0.5, 1)(random_);  // many assigners must not come back at once
-  s.not_before = now + std::max(wait, std::max(0.0, retry_after));
-  s.in_flight = 0;
+void Sender::back_off(Shard& shard, Ms retry_after, Ms now) {
+  double doubled = settings_.min_backoff * std::exp2(std::min(shard.failures, kMaxDoublings));
+  ++shard.failures;
+  Ms wait = std::min(settings_.max_backoff, doubled);
+  // Spread at random: many assigners must not come back to the receiver at once.
+  wait *= std::uniform_real_distribution<double>(kMinPart, 1)(random_);
+  shard.not_before = now + std::max(wait, std::max(0.0, retry_after));
+  shard.in_flight = 0;
 }
 
-void Sender::done(Shard& s, std::size_t count) {
-  for (; count > 0; --count, s.items.pop_front()) --s.items.front().scrape->left;
-  s.in_flight = 0;
-  for (; !held_.empty() && held_.front()->left == 0; held_.pop_front()) done_ = held_.front()->end;
+// The first `count` items are sent or given up.
+void Sender::release(Shard& shard, std::size_t count) {
+  for (std::size_t k = 0; k < count; ++k) {
+    --shard.items.front().scrape->samples_left;
+    shard.items.pop_front();
+  }
+  shard.in_flight = 0;
+  while (!pending_.empty() && pending_.front()->samples_left == 0) {
+    acknowledged_ = pending_.front()->end;
+    pending_.pop_front();
+  }
 }
 
-std::optional<Position> Sender::take_done() { return std::exchange(done_, std::nullopt); }
+std::optional<Position> Sender::take_acknowledged() { return std::exchange(acknowledged_, std::nullopt); }
 
 }  // namespace beamshunt::telemetry
--- a/tests/alerts/alerts_test.cpp
+++ b/tests/alerts/alerts_test.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 
 #include "alerts/rules.h"
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt::alerts {
 namespace {
@@ -87,9 +87,9 @@
   auto rules = read_rules("alerts/beamshunt.yml");
   EXPECT_GE(rules.size(), 13u);
   telemetry::Exporter exporter(telemetry::Labels{{"instance", "0"}});
-  telemetry::Figures f;
+  telemetry::AssignerMetrics f;
   f.service.push_back({"north", "read", 10, 1, 8, 1});
-  f.levels.push_back({"read", 5, 0});
+  f.admission_limits.push_back({"read", 5, 0});
   for (auto& line : check_rules(rules, exporter.scrape(f, 1))) ADD_FAILURE() << line;
   std::size_t checks = 0;
   for (auto& line : test_rules("alerts/beamshunt_test.yml", checks)) ADD_FAILURE() << line;
--- a/tests/assigner/watch_test.cpp
+++ b/tests/assigner/watch_test.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 struct Fleet {
-  telemetry::Figures f;
+  telemetry::AssignerMetrics f;
   Fleet() { f.service = {{"north", "read", 0, 0, 0, 1}, {"north", "pay", 0, 0, 0, 3}}; }
-  const telemetry::Figures& serve(std::uint64_t reads, std::uint64_t in_time, std::uint64_t pays = 0,
-                                  std::uint64_t paid = 0) {
-    f.service[0].came += reads, f.service[0].in_time += in_time;
-    f.service[1].came += pays, f.service[1].in_time += paid;
+  const telemetry::AssignerMetrics& serve(std::uint64_t reads, std::uint64_t in_time, std::uint64_t pays = 0,
+                                          std::uint64_t paid = 0) {
+    f.service[0].arrivals += reads, f.service[0].in_time += in_time;
+    f.service[1].arrivals += pays, f.service[1].in_time += paid;
     return f;
   }
 };
@@ -61,9 +61,9 @@
 TEST(Watch, ARuleThatComesToItsLimitIsEvidenceUnlessItWasThereBefore) {
   Fleet fleet;
   Watch w(kLimits, std::nullopt, {0, 0, 0.2, 0, 1.3}, 1000);
-  fleet.f.rules = {0, 0, 0.5, 0, 1.4};
+  fleet.f.rule_usage = {0, 0, 0.5, 0, 1.4};
   EXPECT_EQ(w.look(fleet.f, 1250), Watch::State::watching) << "rule 5 was over it already";
-  fleet.f.rules[2] = 1.1;
+  fleet.f.rule_usage[2] = 1.1;
   EXPECT_EQ(w.look(fleet.f, 1500), Watch::State::watching);
   EXPECT_EQ(w.look(fleet.f, 1750), Watch::State::broken);
   EXPECT_EQ(w.evidence().at(0).rule, "rule 3");
--- a/tests/base/base_test.cpp
+++ b/tests/base/base_test.cpp
@@ -45,12 +45,15 @@
   EXPECT_EQ(bytes.size(), 2u);
 }
 
+// Four damaged bytes of a count announce four thousand million items. The decoder refuses them before it
+// takes memory for them.
 TEST(Archive, ACountIsCheckedBeforeMemoryIsTaken) {
   Decoder d(std::string_view("\xff\xff\xff\xff", 4));
   std::vector<std::uint64_t> items;
   EXPECT_THROW(d(items), DecodeError);
 }
 
+// A record ends early, at any byte. It must not be read as a shorter or another record.
 TEST(Archive, EveryCutIsNoticed) {
   Encoder e;
   e(std::string("abc"), 5.0, std::vector<std::uint32_t>{1, 2, 3});
@@ -63,6 +66,8 @@
   }
 }
 
+// The disk returns one changed byte, in the length, the checksum or the payload. The record is not read, and
+// the reader stays where it begins.
 TEST(Seal, EveryDamagedByteIsNoticed) {
   std::string whole = sealed("some payload") + sealed("another");
   std::size_t offset = 0;
@@ -78,6 +83,8 @@
   }
 }
 
+// No file is an ordinary first start; a folder that is not there is an error that names the file and its
+// cause.
 TEST(File, MissingIsNothingAndReplacedIsWhole) {
   std::string path = scratch("file");
   std::filesystem::remove(path);
@@ -88,7 +95,7 @@
   EXPECT_THROW(replace_file("/nonexistent-folder/file", "x"), std::runtime_error);
 }
 
-// A writer is killed at instants of its own; the file is at all times one of the versions it wrote, whole.
+// A writer is killed at instants of its own. The file is at all times one of the versions it wrote, whole.
 TEST(File, SurvivesKillAtAnyInstant) {
   std::string path = scratch("killed");
   replace_file(path, sealed("0"));
--- a/tests/stored_data/stored_data_test.cpp
+++ b/tests/stored_data/stored_data_test.cpp
@@ -15,7 +15,7 @@
 #include "config_stream/version_store.h"
 #include "flight_record/replay.h"
 #include "telemetry/buffer.h"
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt {
 namespace {
@@ -181,17 +181,17 @@
   Scratch scratch("metrics");
   std::filesystem::copy(kFolder + "metrics", scratch.path(), std::filesystem::copy_options::recursive);
   telemetry::Buffer buffer(scratch.path(), {});
-  EXPECT_EQ(buffer.taken_position(), (telemetry::Position{2, 48436}));
+  EXPECT_EQ(buffer.acknowledged(), (telemetry::Position{2, 48436}));
   EXPECT_EQ(buffer.bytes(), 48436u);
   EXPECT_EQ(buffer.lost_samples(), 0u);
   EXPECT_EQ(buffer.oldest_waiting_ms(), 0);
   EXPECT_EQ(buffer.newest_ms(), 1796273207087);
 
-  std::vector<telemetry::Buffer::Read> reads = buffer.read({}, 100);
+  std::vector<telemetry::Buffer::StoredScrape> reads = buffer.read({}, 100);
   ASSERT_EQ(reads.size(), 33u);
   EXPECT_EQ(reads.front().scrape.at_ms, 1796273200720);
   EXPECT_EQ(reads.back().scrape.at_ms, 1796273207087);
-  EXPECT_EQ(reads.back().end, buffer.taken_position());
+  EXPECT_EQ(reads.back().end, buffer.acknowledged());
   auto events = [](const telemetry::Scrape& scrape) {
     for (const telemetry::Point& point : scrape.points)
       if (telemetry::to_string(point.labels) == "beamshunt_module_events_total{instance=\"0\"}")
@@ -202,7 +202,7 @@
   EXPECT_EQ(events(reads[1].scrape), 739);
   EXPECT_EQ(events(reads[15].scrape), 1070);
   EXPECT_EQ(events(reads[31].scrape), 1414);
-  for (const telemetry::Buffer::Read& read : reads) EXPECT_EQ(read.scrape.points.size(), 97u);
+  for (const telemetry::Buffer::StoredScrape& read : reads) EXPECT_EQ(read.scrape.points.size(), 97u);
   for (const telemetry::Point& point : reads.back().scrape.points)
     EXPECT_TRUE(telemetry::is_stale_marker(point.value)) << telemetry::to_string(point.labels);
 }
@@ -215,8 +215,9 @@
   Scratch copy("metrics-copy");
   {
     telemetry::Buffer again(copy.path(), {});
-    for (const telemetry::Buffer::Read& read : before.read({}, 100)) ASSERT_TRUE(again.append(read.scrape));
-    again.taken({2, 48436});
+    for (const telemetry::Buffer::StoredScrape& read : before.read({}, 100))
+      ASSERT_TRUE(again.append(read.scrape));
+    again.acknowledge({2, 48436});
   }
   EXPECT_TRUE(base::read_file(copy.path() + "/000000000001.seg") == stored("metrics/000000000002.seg"));
   EXPECT_TRUE(base::read_file(copy.path() + "/taken") == stored("metrics/taken"));
--- a/tests/telemetry/buffer_test.cpp
+++ b/tests/telemetry/buffer_test.cpp
@@ -27,7 +27,7 @@
           {{{"__name__", "metric"}, {"k", std::to_string(k)}}, static_cast<double>(at * 10 + k)});
     return s;
   }
-  static std::vector<std::int64_t> times(const std::vector<Buffer::Read>& reads) {
+  static std::vector<std::int64_t> times(const std::vector<Buffer::StoredScrape>& reads) {
     std::vector<std::int64_t> out;
     for (auto& r : reads) out.push_back(r.scrape.at_ms);
     return out;
@@ -41,6 +41,8 @@
   }
 };
 
+// The process restarts while the receiver has taken half. The next one goes on from there and sends nothing
+// twice.
 TEST_F(BufferTest, GivesBackWhatWasPutOverSegmentsAndRestarts) {
   BufferLimits limits{.segment_bytes = 500};
   Position half;
@@ -53,10 +55,10 @@
     EXPECT_EQ(reads[7].scrape.points[3].value, 83);
     EXPECT_EQ(reads[7].scrape.points[3].labels, scrape(1).points[3].labels);
     half = reads[9].end;
-    b.taken(half);
+    b.acknowledge(half);
   }
   Buffer again(folder, limits);
-  EXPECT_EQ(again.taken_position(), half);
+  EXPECT_EQ(again.acknowledged(), half);
   EXPECT_EQ(times(again.read(half, 3)), (std::vector<std::int64_t>{11, 12, 13}));
   EXPECT_EQ(again.newest_ms(), 20);
   EXPECT_EQ(again.oldest_waiting_ms(), 11);
@@ -65,6 +67,8 @@
   EXPECT_EQ(again.lost_samples(), 0u);
 }
 
+// A new configuration brings classes and localities, and with them series that the segment has not named yet.
+// Each keeps its own labels when it is read again.
 TEST_F(BufferTest, TenTimesTheUsualSeriesComeBackWholeAndNewOnesInTheMiddle) {
   Buffer b(folder, {.segment_bytes = 20000});
   for (int k = 1; k <= 10; ++k) ASSERT_TRUE(b.append(scrape(k, k * 100)));
@@ -78,6 +82,8 @@
   }
 }
 
+// The process is killed while it appends a scrape. Wherever the record is torn, the whole scrapes before it
+// are read, and the next one must not stand behind the torn one, where nothing would find it.
 TEST_F(BufferTest, ATornTailIsCutWhereverItIsTorn) {
   {
     Buffer b(folder, {});
@@ -98,6 +104,8 @@
   }
 }
 
+// The disk returns a changed byte in an old segment. What stands behind it in that segment can not be read;
+// the other segments are, and the loss shows in a metric.
 TEST_F(BufferTest, DamageCostsWhatStandsBehindItInItsSegmentAndIsCounted) {
   BufferLimits limits{.segment_bytes = 500};
   {
@@ -114,6 +122,8 @@
   EXPECT_EQ(left.back(), 12);
 }
 
+// The receiver is away for longer than the buffer has room. The oldest samples are dropped and counted; what
+// the receiver has taken is removed without being counted.
 TEST_F(BufferTest, TheOldestGoFirstAndAreCountedUnlessTaken) {
   BufferLimits limits{.bytes = 2000, .segment_bytes = 500};
   Buffer b(folder, limits);
@@ -123,16 +133,18 @@
   EXPECT_EQ(left.back(), 100);
   EXPECT_EQ(b.dropped_samples(), (100 - left.size()) * 5);
   auto all = b.read({}, 1000);
-  b.taken(all.back().end);
+  b.acknowledge(all.back().end);
   auto dropped = b.dropped_samples();
   for (int k = 101; k <= 130; ++k) {
     b.append(scrape(k));
-    b.taken(b.read(b.taken_position(), 100).back().end);
+    b.acknowledge(b.read(b.acknowledged(), 100).back().end);
   }
   EXPECT_EQ(b.dropped_samples(), dropped);
   EXPECT_LE(segments().size(), 2u);
 }
 
+// The receiver is away for longer than the age that samples are kept, while there is room. They are dropped
+// all the same.
 TEST_F(BufferTest, AgeIsABoundToo) {
   Buffer b(folder, {.segment_bytes = 300, .age_ms = 1000});
   for (int k = 0; k < 50; ++k) b.append(scrape(k * 100));
@@ -140,6 +152,8 @@
   EXPECT_GT(b.dropped_samples(), 0u);
 }
 
+// The disk is full and takes a part of a scrape. That scrape is lost and counted; those before and after it
+// are read, also by the next start.
 TEST_F(BufferTest, AFullDiskCostsTheScrapesThatItDoesNotTake) {
   Buffer b(folder, {});
   for (int k = 1; k <= 3; ++k) ASSERT_TRUE(b.append(scrape(k)));
