--- a/tests/base/base_test.cpp
+++ b/tests/base/base_test.cpp
@@ -3,6 +3,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <cerrno>
 #include <csignal>
 #include <filesystem>
 
@@ -93,6 +94,14 @@
   replace_file(path, "second, longer");
   EXPECT_EQ(read_file(path), "second, longer");
   EXPECT_THROW(replace_file("/nonexistent-folder/file", "x"), std::runtime_error);
+  try {
+    replace_file("/nonexistent-folder/file", "x");
+  } catch (const FileError& error) {
+    EXPECT_EQ(error.operation, "create");
+    EXPECT_EQ(error.path, "/nonexistent-folder/file.new");
+    EXPECT_EQ(error.error_number, ENOENT);
+    EXPECT_STREQ(error.what(), "cannot create /nonexistent-folder/file.new: No such file or directory");
+  }
 }
 
 // A writer is killed at instants of its own. The file is at all times one of the versions it wrote, whole.
--- a/tests/config_stream/version_store_test.cpp
+++ b/tests/config_stream/version_store_test.cpp
@@ -224,7 +224,9 @@
   try {
     VersionStore s(disk);
     FAIL() << "damage was passed over";
-  } catch (const std::runtime_error& error) {
+  } catch (const StoreError& error) {
+    EXPECT_EQ(error.file, "config.log");
+    EXPECT_EQ(error.offset, 0u);
     EXPECT_NE(std::string(error.what()).find("damaged at byte 0"), std::string::npos) << error.what();
   }
 }
--- a/tests/flight_record/flight_record_test.cpp
+++ b/tests/flight_record/flight_record_test.cpp
@@ -86,6 +86,11 @@
   std::string bad = f.file;
   bad[f.ends[1] + 20] = static_cast<char>(bad[f.ends[1] + 20] ^ 4);
   EXPECT_THROW(replay(bad), std::runtime_error);
+  try {
+    replay(bad);
+  } catch (const FlightRecordError& error) {
+    EXPECT_EQ(error.record_offset, f.ends[1]);
+  }
 }
 
 }  // namespace
