--- a/src/config_stream/client.cpp
+++ b/src/config_stream/client.cpp
@@ -152,7 +152,7 @@
     reject({part.nonce, {part.number, part.hash, {}}},
            {make_reason(
                "order", "origin",
-               fmt::format("versions of \"{}\" are asked for, not of \"{}\"", options_.origin, part.origin),
+               fmt::format(R"(versions of "{}" are asked for, not of "{}")", options_.origin, part.origin),
                "\"" + options_.origin + "\"")});
   } else if (auto* misfit = std::get_if<ResyncNeeded>(&result)) {
     answer(part.nonce, part.number, Verdict::resync, {make_reason("order", "", misfit->reason)});
--- a/src/config_stream/version_history.cpp
+++ b/src/config_stream/version_history.cpp
@@ -1,6 +1,7 @@
 #include "config_stream/version_history.h"
 
 #include <algorithm>
+#include <ranges>
 #include <set>
 
 namespace beamshunt::config_stream {
@@ -69,14 +70,14 @@
 }
 
 const Version* VersionHistory::find_version(std::uint64_t number) const {
-  for (auto version = versions_.rbegin(); version != versions_.rend(); ++version)
-    if (version->number == number) return &*version;
+  for (const Version& version : versions_ | std::views::reverse)
+    if (version.number == number) return &version;
   return nullptr;
 }
 
 std::optional<std::uint64_t> VersionHistory::reverted_hash(std::uint64_t number) const {
-  for (auto record = records_.rbegin(); record != records_.rend(); ++record)
-    if (record->kind == Kind::reverted && record->number == number) return record->hash;
+  for (const HistoryRecord& record : records_ | std::views::reverse)
+    if (record.kind == Kind::reverted && record.number == number) return record.hash;
   return std::nullopt;
 }
 
@@ -88,9 +89,9 @@
 std::vector<HistoryRecord> VersionHistory::compacted(std::size_t kept_versions,
                                                      std::size_t kept_records) const {
   std::set<VersionId> kept_contents;
-  for (auto version = versions_.rbegin(); version != versions_.rend(); ++version) {
+  for (const Version& version : versions_ | std::views::reverse) {
     if (kept_contents.size() >= kept_versions) break;
-    kept_contents.insert({version->number, version->hash});
+    kept_contents.insert({version.number, version.hash});
   }
   for (const auto& id : {active_, last_good_})
     if (id) kept_contents.insert(*id);
--- a/src/config_stream/wire.cpp
+++ b/src/config_stream/wire.cpp
@@ -61,7 +61,7 @@
   if (!piece) return std::nullopt;
   base::Decoder payload(piece->payload);
   try {
-    Frame frame = channel::decode_kind<Frame>(piece->kind, payload);
+    auto frame = channel::decode_kind<Frame>(piece->kind, payload);
     if (const char* reason = std::visit([](const auto& f) { return fault(f); }, frame)) payload.fail(reason);
     framing_.take(*piece);
     return frame;
--- a/src/telemetry/buffer.h
+++ b/src/telemetry/buffer.h
@@ -26,9 +26,9 @@
 
 // A scrape is dropped, oldest segment first, when either bound is passed; the newest segment always stays.
 struct BufferLimits {
-  std::uint64_t bytes = 64 * 1048576;
-  std::uint64_t segment_bytes = 1048576;  // a segment that has reached this takes no more records
-  std::int64_t age_ms = 6 * 3600 * 1000;
+  std::uint64_t bytes = 64ULL << 20;
+  std::uint64_t segment_bytes = 1ULL << 20;  // a segment that has reached this takes no more records
+  std::int64_t age_ms = 6LL * 3600 * 1000;   // six hours
   bool operator==(const BufferLimits&) const = default;
 };
 
--- a/src/telemetry/remote_writer.cpp
+++ b/src/telemetry/remote_writer.cpp
@@ -9,8 +9,8 @@
 namespace beamshunt::telemetry {
 namespace {
 
-constexpr std::size_t kMaxQueuedBytes = 32 * 1048576;  // scrapes that a slow disk may hold in memory
-constexpr std::size_t kBytesPerPoint = 200;            // in memory, about: four labels and their strings
+constexpr std::size_t kMaxQueuedBytes = 32ULL << 20;  // scrapes that a slow disk may hold in memory
+constexpr std::size_t kBytesPerPoint = 200;           // in memory, about: four labels and their strings
 constexpr Ms kMsPerSecond = 1000;
 constexpr Ms kMinSendDelay = 1;  // ms: a deadline in the past must not spin the loop
 
--- a/src/telemetry/scrape.cpp
+++ b/src/telemetry/scrape.cpp
@@ -26,7 +26,10 @@
   for (const auto& [key, value] : labels) {
     if (key == kName) continue;
     if (!rest.empty()) rest += ",";
-    rest += key + "=\"" + value + "\"";
+    rest += key;
+    rest += "=\"";
+    rest += value;
+    rest += "\"";
   }
   const std::string& name = label_of(labels, kName);
   return rest.empty() ? name : name + "{" + rest + "}";
--- a/src/telemetry/sender.cpp
+++ b/src/telemetry/sender.cpp
@@ -80,6 +80,7 @@
     run.samples.push_back({item.at_ms, item.value});
   }
   std::vector<SeriesRun> series;
+  series.reserve(runs.size());
   for (auto& [labels, run] : runs) series.push_back(std::move(run));
   return series;
 }
@@ -97,8 +98,8 @@
   return deadline;
 }
 
-void Sender::on_response(std::size_t k, int status, Ms retry_after, Ms now) {
-  Shard& shard = shards_[k];
+void Sender::on_response(std::size_t shard_index, int status, Ms retry_after, Ms now) {
+  Shard& shard = shards_[shard_index];
   if (shard.in_flight == 0) return;
   if (is_success(status)) {
     sent_samples_ += shard.in_flight;
@@ -125,10 +126,11 @@
   shard.in_flight = 0;
 }
 
-void Sender::on_no_response(std::size_t k, Ms now) {
-  if (shards_[k].in_flight == 0) return;
+void Sender::on_no_response(std::size_t shard_index, Ms now) {
+  Shard& shard = shards_[shard_index];
+  if (shard.in_flight == 0) return;
   ++failed_requests_;
-  back_off(shards_[k], -1, now);
+  back_off(shard, -1, now);
 }
 
 void Sender::back_off(Shard& shard, Ms retry_after, Ms now) {
--- a/src/telemetry/sender.h
+++ b/src/telemetry/sender.h
@@ -49,11 +49,11 @@
   // change it.
   [[nodiscard]] Ms next_deadline() const;
 
-  // The receiver's response to the shard's request. `status`: of HTTP. `retry_after`: the wait that it asks
-  // for, in ms; below 0: it named none.
-  void on_response(std::size_t shard, int status, Ms retry_after, Ms now);
+  // The receiver's response to the request of a shard, as Request::shard names it. `status`: of HTTP.
+  // `retry_after`: the wait that it asks for, in ms; below 0: it named none.
+  void on_response(std::size_t shard_index, int status, Ms retry_after, Ms now);
   // No response: not reached, too late, broken.
-  void on_no_response(std::size_t shard, Ms now);
+  void on_no_response(std::size_t shard_index, Ms now);
 
   // The position behind the last scrape that all shards are done with; nothing if it has not moved since the
   // last call.
