--- a/src/config_stream/wire.h
+++ b/src/config_stream/wire.h
@@ -1,9 +1,11 @@
-// What an assigner and a configuration service say to each other: resources by type and name, in versions that are
-// answered. Where the xDS documents settle a question they are followed: a nonce per delivery, an answer that echoes it
-// and names the active version, removed names beside changed resources, the held versions named anew on each stream.
-// Other than there, one delivery spans all types: it is one atomic change.
+// What an assigner and a configuration service say to each other: resources by type and name, in versions
+// that are answered. Where the xDS documents settle a question they are followed: a nonce per delivery, an
+// answer that echoes it and names the active version, removed names beside changed resources, the held
+// versions named anew on each stream. Other than there, one delivery spans all types: it is one atomic
+// change.
 //
-// Pure: bytes in, frames out, and back. docs/protocol.md has the bytes; the order of each type's fields below is theirs.
+// Pure: bytes in, frames out, and back. docs/protocol.md has the bytes; the order of each type's fields below
+// is theirs.
 #pragma once
 
 #include <cstdint>
@@ -114,8 +116,8 @@
   // `max_bytes`: of one frame; a longer one is refused before its payload is there.
   explicit FrameParser(std::size_t max_bytes) : framing_(max_bytes, std::variant_size_v<Frame>) {}
   void push(std::string_view bytes) { framing_.push(bytes); }
-  // The next whole frame, if there is one. Throws channel::Malformed, with the code for the peer and the offset in the
-  // stream; the stream is then at its end.
+  // The next whole frame, if there is one. Throws channel::Malformed, with the code for the peer and the
+  // offset in the stream; the stream is then at its end.
   std::optional<Frame> next();
 
  private:
