--- a/fuzz/record.cpp
+++ b/fuzz/record.cpp
@@ -1,12 +1,10 @@
 // The flight record: whole, torn or damaged.
-#include "record/record.h"
-
-#include <stdexcept>
+#include "flight_record/replay.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   try {
-    beamshunt::record::replay({reinterpret_cast<const char*>(data), size});
-  } catch (const std::runtime_error&) {
+    beamshunt::flight_record::replay({reinterpret_cast<const char*>(data), size});
+  } catch (const beamshunt::flight_record::FlightRecordError&) {
   }
   return 0;
 }
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -7,8 +7,8 @@
 #include <nlohmann/json.hpp>
 
 #include "base/enums.h"
-#include "record/policy_fields.h"
-#include "record/record.h"
+#include "flight_record/codec.h"
+#include "flight_record/writer.h"
 
 namespace beamshunt::assigner {
 namespace {
@@ -45,7 +45,8 @@
   next_release_ = list_heard_ = now;
   wall_less_now_ = wall_now - now;
   for (auto& [instance, address] : site_.peers) dial_at_[instance] = now;
-  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::opening(site_.policy)});
+  if (!site_.record_file.empty())
+    effects_.push_back(AppendRecord{flight_record::encode_controller_start(site_.policy)});
   if (warm) book_ = std::move(*warm);
   // As on the bench, the first event is the warm copy, be it empty: the module asks for the list itself.
   tell(EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_now)});
@@ -535,7 +536,7 @@
   std::vector<Action> actions = module.controller.handle(at(now), events);
   counters_.events += events.size();
   if (!site_.record_file.empty())
-    effects_.push_back(AppendRecord{record::batch(at(now), events, actions, number)});
+    effects_.push_back(AppendRecord{flight_record::encode_batch(at(now), events, actions, number)});
   act(now, number, module, actions);
   send_messages(now, number);
 }
@@ -594,7 +595,8 @@
   bool told = site_.heartbeat != next.heartbeat || site_.policy.report_period != next.policy.report_period;
   site_ = next;
   intake_.pace(site_.report_lines_per_s);
-  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::applied(at(now), version, hash)});
+  if (!site_.record_file.empty())
+    effects_.push_back(AppendRecord{flight_record::encode_config_change(at(now), version, hash)});
   log(log::Level::info, "config_applied",
       {{"version", std::to_string(version)}, {"fresh_module", fresh ? "yes" : "no"}});
   for (auto s = streams_.begin(); s != streams_.end(); ++s) {
@@ -611,7 +613,8 @@
   if (!fresh) return;
   std::uint32_t number = modules_.rbegin()->first + 1;
   Module& module = modules_.emplace(number, site_.policy).first->second;
-  if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::opening(site_.policy, number)});
+  if (!site_.record_file.empty())
+    effects_.push_back(AppendRecord{flight_record::encode_controller_start(site_.policy, number)});
   // Known instants of starts are kept as they are: no wall clock is needed, none of these is new.
   module.pending.push_back(
       EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_less_now_ + now)});
@@ -739,12 +742,12 @@
   return oldest / site_.policy.drain_grace_period.count();
 }
 
-telemetry::Figures Core::figures(Ms now) {
+telemetry::AssignerMetrics Core::figures(Ms now) {
   const Settings& p = site_.policy;
-  telemetry::Figures f;
-  f.backlog_lines = waiting_lines();
-  f.backlog_most = p.max_queued_lines;
-  f.messages_allowed = p.max_messages_per_window;
+  telemetry::AssignerMetrics f;
+  f.queued_lines = waiting_lines();
+  f.max_queued_lines = p.max_queued_lines;
+  f.max_messages_per_window = p.max_messages_per_window;
   double most_messages = 0;
   Ms emptiest = 0;
   std::set<ProxyId> lacking;  // bound to a table that has no lines
@@ -755,9 +758,10 @@
   for (auto& [proxy, id] : proxies_) {
     Stream& s = streams_.at(id);
     if (!s.unconfirmed.empty())
-      f.backlog_age_s = std::max(f.backlog_age_s, (now - s.unconfirmed.front().decided) / 1000);
-    f.messages.push_back(static_cast<double>(spent(s, now, p.message_window.count())));
-    most_messages = std::max(most_messages, f.messages.back());
+      f.oldest_unacknowledged_s =
+          std::max(f.oldest_unacknowledged_s, (now - s.unconfirmed.front().decided) / 1000);
+    f.messages_in_window.push_back(static_cast<double>(spent(s, now, p.message_window.count())));
+    most_messages = std::max(most_messages, f.messages_in_window.back());
     if (!lacking.contains(proxy)) s.empty_since = -1;
     else if (s.empty_since < 0) s.empty_since = now;
     if (s.empty_since >= 0) emptiest = std::max(emptiest, now - s.empty_since);
@@ -765,16 +769,16 @@
   for (std::uint32_t z = 0; z < p.localities.size(); ++z)
     for (std::uint32_t c = 0; c < p.classes.size(); ++c) {
       auto sum = service_.find({z, c});
-      telemetry::Figures::Service s{
+      telemetry::AssignerMetrics::ServiceCounts s{
           p.localities[z], site_.class_names[c], 0, 0, 0, p.classes[c].priority_weight};
       if (sum != service_.end())
-        s.came = sum->second.came, s.unanswered = sum->second.unanswered, s.in_time = sum->second.in_time;
+        s.arrivals = sum->second.came, s.failed = sum->second.unanswered, s.in_time = sum->second.in_time;
       f.service.push_back(std::move(s));
     }
   bool unproven = false;
   for (std::uint32_t c = 0; c < p.classes.size(); ++c) {
-    telemetry::Figures::Level level{site_.class_names[c],
-                                    p.admission_limit_kind == AdmissionLimitKind::rate ? 1e6 : 1, cuts_[c]};
+    telemetry::AssignerMetrics::AdmissionLimits level{
+        site_.class_names[c], p.admission_limit_kind == AdmissionLimitKind::rate ? 1e6 : 1, cuts_[c]};
     for (auto& [number, module] : modules_)
       for (auto& [id, table] : module.tables.tables())
         if (auto l = table.limits.find(ClassId{c}); l != table.limits.end()) {
@@ -782,19 +786,19 @@
           unproven |= p.classes[c].semantics != Semantics::idempotent &&
                       l->second.retry_mode > RetryMode::if_not_processed;
         }
-    f.levels.push_back(std::move(level));
+    f.admission_limits.push_back(std::move(level));
   }
   f.ejections = ejections_;
-  f.list_age_s = std::max(0.0, now - list_heard_) / 1000;
-  f.list_entries = static_cast<double>(book_.all().size());
-  f.report_wait_s = intake_.oldest(now) / 1000;
+  f.endpoint_list_age_s = std::max(0.0, now - list_heard_) / 1000;
+  f.listed_endpoints = static_cast<double>(book_.all().size());
+  f.longest_report_wait_s = intake_.oldest(now) / 1000;
   f.reports = counters_.reports, f.events = counters_.events, f.actions = counters_.actions;
-  f.orders = counters_.messages, f.refused_streams = counters_.refused_streams;
-  f.broken_streams = counters_.broken_streams, f.dropped_messages = counters_.dropped_messages;
+  f.updates = counters_.messages, f.rejected_streams = counters_.refused_streams;
+  f.broken_streams = counters_.broken_streams, f.dropped_updates = counters_.dropped_messages;
   f.streams = static_cast<double>(streams_.size()), f.proxies = static_cast<double>(proxies_.size());
   double messages_used = p.max_messages_per_window > 0 ? most_messages / p.max_messages_per_window : 0;
-  f.rules = {emptiest / p.max_time_without_endpoints.count(), unproven ? 1.0 : 0.0, drain_used(now),
-             cold_used(now), std::max(f.backlog_lines / p.max_queued_lines, messages_used)};
+  f.rule_usage = {emptiest / p.max_time_without_endpoints.count(), unproven ? 1.0 : 0.0, drain_used(now),
+                  cold_used(now), std::max(f.queued_lines / p.max_queued_lines, messages_used)};
   return f;
 }
 
--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -302,11 +302,11 @@
   void open_writer() {
     writer_.reset();
     if (!site_.remote_write) return;
-    writer_ = std::make_unique<telemetry::Writer>(
+    writer_ = std::make_unique<telemetry::RemoteWriter>(
         reactor_, *site_.remote_write,
         [this] {
-          telemetry::Figures f = core_.figures(reactor_.now());
-          f.loop_lag_s = reactor_.take_longest_turn() / 1000;
+          telemetry::AssignerMetrics f = core_.figures(reactor_.now());
+          f.longest_turn_s = reactor_.take_longest_turn() / 1000;
           if (feed_) feed_->fill(f);
           return f;
         },
@@ -322,12 +322,12 @@
             [this] { return core_.fleet(reactor_.now()); }, [this]() -> const Site& { return site_; },
             [this] { return core_.figures(reactor_.now()); },
             [this](const Site& next) { return core_.may_reconfigure(next, reactor_.now()); },
-            [this](const Site& next, const configstream::Version& version) { apply(next, version); },
+            [this](const Site& next, const config_stream::Version& version) { apply(next, version); },
             [this](log::Level level, const std::string& event, const log::Fields& fields) {
               log_.write(level, event, fields);
             }});
   }
-  void apply(const Site& next, const configstream::Version& version) {
+  void apply(const Site& next, const config_stream::Version& version) {
     bool writes_otherwise = site_.remote_write != next.remote_write;
     core_.reconfigure(next, version.number, version.hash, reactor_.now());
     site_ = next;
@@ -419,7 +419,7 @@
   std::optional<net::Reactor::TimerId> timer_;
   net::Fd record_;
   std::atomic<bool> record_lost_ = false;
-  std::unique_ptr<telemetry::Writer> writer_;
+  std::unique_ptr<telemetry::RemoteWriter> writer_;
   std::unique_ptr<ConfigFeed> feed_;
   bool figures_sent_ = false;
   bool list_changed_ = false, saving_list_ = false, turn_due_ = false, stopping_ = false;
--- a/src/configstream/wire.cpp
+++ b/src/config_stream/wire.cpp
@@ -1,10 +1,10 @@
-#include "configstream/wire.h"
+#include "config_stream/wire.h"
 
 #include <xxhash.h>
 
 #include "base/archive.h"
 
-namespace beamshunt::configstream {
+namespace beamshunt::config_stream {
 // Found by argument-dependent lookup, hence not in the unnamed namespace.
 template <class A>
 void fields(A& a, Subscribe& x) {
@@ -21,6 +21,7 @@
 
 namespace {
 
+// What the types allow and the protocol does not; null: nothing.
 const char* fault(const Subscribe& x) {
   return x.magic != kMagic ? "not this protocol: the magic number differs" : nullptr;
 }
@@ -39,9 +40,9 @@
 }  // namespace
 
 std::uint64_t content_hash(const Resources& resources) {
-  base::Encoder e;
-  for (auto& [key, resource] : resources) e(key, resource.body);
-  return XXH3_64bits(e.bytes().data(), e.bytes().size());
+  base::Encoder encoder;
+  for (const auto& [key, resource] : resources) encoder(key, resource.body);
+  return XXH3_64bits(encoder.bytes().data(), encoder.bytes().size());
 }
 
 std::string to_string(const Reason& r) {
@@ -60,7 +61,7 @@
   if (!piece) return std::nullopt;
   base::Decoder payload(piece->payload);
   try {
-    Frame frame = channel::decode_kind<Frame>(piece->kind, payload);
+    auto frame = channel::decode_kind<Frame>(piece->kind, payload);
     if (const char* reason = std::visit([](const auto& f) { return fault(f); }, frame)) payload.fail(reason);
     framing_.take(*piece);
     return frame;
@@ -69,4 +70,4 @@
   }
 }
 
-}  // namespace beamshunt::configstream
+}  // namespace beamshunt::config_stream
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -19,7 +19,7 @@
 #include "standin/control.h"
 #include "standin/list.h"
 #include "standin/receiver.h"
-#include "telemetry/figures.h"
+#include "telemetry/exporter.h"
 
 namespace beamshunt::measure {
 namespace {
@@ -382,9 +382,9 @@
     }
     std::vector<double> took, lag;
     for (auto& a : service.answers()) {
-      if (a.answer.verdict != configstream::Verdict::ack)
+      if (a.answer.verdict != config_stream::Verdict::ack)
         throw std::runtime_error("a sound version was not taken: " +
-                                 configstream::to_string(a.answer.reasons.at(0)));
+                                 config_stream::to_string(a.answer.reasons.at(0)));
       took.push_back(a.took);
       next_version_ = a.answer.number + 1;
     }
