--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -1,19 +1,21 @@
-// The discovery service's lines, and the warm copy on disk.
+// The discovery service's lines, and the cached copy on disk.
 #include <stdexcept>
+#include <tuple>
 
-#include "assigner/list_feed.h"
+#include "assigner/cached_list_codec.h"
+#include "assigner/endpoint_list_json.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
   using namespace beamshunt::assigner;
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   try {
-    EndpointBook book;
-    book.apply(parse_list(bytes, {"north", "south"}));
-    if (EndpointBook::from_bytes(book.to_bytes()).all() != book.all()) __builtin_trap();
+    EndpointCatalog book;
+    book.apply(parse_endpoint_list(bytes, {"north", "south"}));
+    if (decode_cached_list(encode_cached_list(book)).entries() != book.entries()) __builtin_trap();
   } catch (const std::runtime_error&) {
   }
   try {
-    EndpointBook::from_bytes(bytes);
+    std::ignore = decode_cached_list(bytes);
   } catch (const std::runtime_error&) {
   }
   return 0;
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -6,6 +6,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
+#include "assigner/endpoint_list_json.h"
 #include "base/enums.h"
 #include "record/policy_fields.h"
 #include "record/record.h"
@@ -39,7 +40,8 @@
 Time at(Ms ms) { return Time(Duration(ms)); }
 }  // namespace
 
-Core::Core(const Site& site, std::uint64_t epoch, std::optional<EndpointBook> warm, Ms now, double wall_now)
+Core::Core(const AssignerSettings& site, std::uint64_t epoch, std::optional<EndpointCatalog> warm, Ms now,
+           double wall_now)
     : site_(site), epoch_(epoch), intake_(site.report_lines_per_s) {
   modules_.emplace(0, site.policy);
   next_release_ = list_heard_ = now;
@@ -48,7 +50,7 @@
   if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::opening(site_.policy)});
   if (warm) book_ = std::move(*warm);
   // As on the bench, the first event is the warm copy, be it empty: the module asks for the list itself.
-  tell(EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_now)});
+  tell(EndpointList{EndpointListKind::cached, book_.to_listed(book_.entries(), now, wall_now)});
 }
 
 void Core::tell(const Event& event) {
@@ -296,9 +298,9 @@
 // ---- List and probes ----
 
 void Core::list_line(std::string_view json, Ms now, double wall_now) {
-  ListUpdate update;
+  EndpointListUpdate update;
   try {
-    update = parse_list(json, site_.policy.localities);
+    update = parse_endpoint_list(json, site_.policy.localities);
   } catch (const std::runtime_error& error) {
     log(log::Level::error, "list_refused",
         {{"reason", error.what()}, {"kept_version", std::to_string(book_.version())}});
@@ -307,11 +309,11 @@
   list_heard_ = now;
   wall_less_now_ = wall_now - now;
   for (std::uint32_t id : book_.apply(update)) {
-    if (book_.open(id)) closed_.erase(id);
+    if (book_.is_available(id)) closed_.erase(id);
     else closed_.try_emplace(id, now);
   }
-  tell(EndpointList{update.total ? EndpointListKind::complete : EndpointListKind::incremental,
-                    book_.listed(update.entries, now, wall_now)});
+  tell(EndpointList{update.complete ? EndpointListKind::complete : EndpointListKind::incremental,
+                    book_.to_listed(update.entries, now, wall_now)});
   effects_.push_back(SaveList{});
   log(log::Level::debug, "list_taken",
       {{"version", std::to_string(update.version)}, {"entries", std::to_string(update.entries.size())}});
@@ -332,7 +334,7 @@
 
 channel::LineOrder Core::line_of(std::uint32_t table, std::uint32_t endpoint, double weight) const {
   channel::LineOrder line{.table = table, .endpoint = endpoint, .weight = weight};
-  if (const ListEntry* e = book_.find(endpoint); e && weight > 0) {
+  if (const EndpointListEntry* e = book_.find(endpoint); e && weight > 0) {
     line.locality = static_cast<std::uint16_t>(e->locality);
     line.cell = e->cell;
     line.ip = e->address.ip, line.port = e->address.port;
@@ -407,7 +409,7 @@
       module.timers.emplace(x.deadline.time_since_epoch().count(), x.token);
     }
     void operator()(const SendHealthCheck& x) {
-      if (const ListEntry* e = core.book_.find(raw(x.endpoint)))
+      if (const EndpointListEntry* e = core.book_.find(raw(x.endpoint)))
         core.effects_.push_back(ProbeServer{x.endpoint, e->address});
     }
     void operator()(const SendPeerMessage& x) {
@@ -575,7 +577,7 @@
                                   std::lower_bound(s.messages.begin(), s.messages.end(), now - span));
 }
 
-bool Core::may_reconfigure(const Site& next, Ms now) const {
+bool Core::may_reconfigure(const AssignerSettings& next, Ms now) const {
   if (encoded(site_.policy) == encoded(next.policy)) return true;
   if (modules_.size() > 1 || sharing_) return false;
   double allowed = next.policy.max_messages_per_window;
@@ -585,7 +587,7 @@
          });
 }
 
-void Core::reconfigure(const Site& next, std::uint64_t version, std::uint64_t hash, Ms now) {
+void Core::reconfigure(const AssignerSettings& next, std::uint64_t version, std::uint64_t hash, Ms now) {
   bool fresh = encoded(site_.policy) != encoded(next.policy);
   // What waits for the module speaks of classes and localities that may be no more.
   if (next.policy.classes.size() < site_.policy.classes.size() ||
@@ -614,7 +616,7 @@
   if (!site_.record_file.empty()) effects_.push_back(AppendRecord{record::opening(site_.policy, number)});
   // Known instants of starts are kept as they are: no wall clock is needed, none of these is new.
   module.pending.push_back(
-      EndpointList{EndpointListKind::cached, book_.listed(book_.all(), now, wall_less_now_ + now)});
+      EndpointList{EndpointListKind::cached, book_.to_listed(book_.entries(), now, wall_less_now_ + now)});
   for (auto& [proxy, id] : proxies_) {
     Stream& s = streams_.at(id);
     module.tables.register_proxy(proxy);
@@ -628,10 +630,10 @@
 
 Fleet Core::fleet(Ms now) const {
   Fleet out;
-  for (const ListEntry& e : book_.all()) {
-    Fleet::Server s{e.id, e.locality, e.cell, e.size, e.state == EndpointState::available};
+  for (const EndpointListEntry& e : book_.entries()) {
+    Fleet::Server s{e.id, e.locality, e.cell, e.capacity, e.state == EndpointState::available};
     s.address = e.address;
-    if (auto start = book_.started(e.id)) s.up_for = now - *start;
+    if (auto start = book_.start_time(e.id)) s.up_for = now - *start;
     if (auto h = heard_.find(e.id); h != heard_.end()) s.rate = h->second.rate, s.busy = h->second.busy;
     out.servers.push_back(s);
   }
@@ -706,21 +708,21 @@
 double Core::cold_used(Ms now) const {
   double tries = 0, busy_size = 0, most = 0;
   auto ramp = [&](std::uint32_t id) {
-    auto start = book_.started(id);
+    auto start = book_.start_time(id);
     const Settings& p = site_.policy;
     if (!start) return 1.0;
     return std::min(1.0,
                     p.initial_capacity + (1 - p.initial_capacity) * (now - *start) / p.warm_up_time.count());
   };
   for (auto& [id, h] : heard_)
-    if (h.busy > kBusyLeast && ramp(id) >= 1) tries += h.rate, busy_size += h.busy * book_.find(id)->size;
+    if (h.busy > kBusyLeast && ramp(id) >= 1) tries += h.rate, busy_size += h.busy * book_.find(id)->capacity;
   if (tries <= 0) return 0;
   for (auto& [id, h] : heard_) {
     double r = ramp(id), fresh = std::exp(-(now - h.at) / kRateFade);
     if (r < 1)
-      most =
-          std::max(most, h.rate * fresh /
-                             (site_.policy.overload_multiple * r * book_.find(id)->size * tries / busy_size));
+      most = std::max(
+          most, h.rate * fresh /
+                    (site_.policy.overload_multiple * r * book_.find(id)->capacity * tries / busy_size));
   }
   return most;
 }
@@ -786,7 +788,7 @@
   }
   f.ejections = ejections_;
   f.list_age_s = std::max(0.0, now - list_heard_) / 1000;
-  f.list_entries = static_cast<double>(book_.all().size());
+  f.list_entries = static_cast<double>(book_.entries().size());
   f.report_wait_s = intake_.oldest(now) / 1000;
   f.reports = counters_.reports, f.events = counters_.events, f.actions = counters_.actions;
   f.orders = counters_.messages, f.refused_streams = counters_.refused_streams;
@@ -804,7 +806,7 @@
   out["epoch"] = epoch_;
   out["streams"] = streams_.size();
   out["proxies"] = proxies_.size();
-  out["list"] = {{"version", book_.version()}, {"entries", book_.all().size()}, {"watching", watching_}};
+  out["list"] = {{"version", book_.version()}, {"entries", book_.entries().size()}, {"watching", watching_}};
   out["channel"] = {{"unconfirmed_lines", waiting_lines()},
                     {"unsent_messages", waiting_.size()},
                     {"free_in_ms", std::max(0.0, channel_free_ - now)}};
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -15,9 +15,10 @@
 #include <variant>
 #include <vector>
 
+#include "assigner/assigner_settings.h"
+#include "assigner/cached_list_codec.h"
+#include "assigner/endpoint_catalog.h"
 #include "assigner/intake.h"
-#include "assigner/list_feed.h"
-#include "assigner/site.h"
 #include "assignments/assignment_tables.h"
 #include "channel/frames.h"
 #include "log/log.h"
@@ -65,7 +66,7 @@
 
 // What may change a message between the module and the wire: audits prove themselves by it. Never in service.
 using Between = std::function<void(Ms now, std::uint32_t proxy, std::vector<channel::Order>& orders,
-                                   const EndpointBook& book)>;
+                                   const EndpointCatalog& book)>;
 
 // What is known of the fleet at an instant: what a change of the settings is judged against.
 struct Fleet {
@@ -92,7 +93,8 @@
 class Core {
  public:
   // `epoch` grows at each start. The warm copy is the list that was held before it, if any.
-  Core(const Site& site, std::uint64_t epoch, std::optional<EndpointBook> warm, Ms now, double wall_now);
+  Core(const AssignerSettings& site, std::uint64_t epoch, std::optional<EndpointCatalog> warm, Ms now,
+       double wall_now);
 
   void set_between(Between between) { between_ = std::move(between); }
 
@@ -108,11 +110,11 @@
   // Other settings from this instant on. Where the module's own differ, a fresh instance takes the place of
   // the one that runs: it binds the proxies one after the other, at the pace of the channel, and each is
   // ordered by the former one until then, so that none is ever without lines and no drain waits. `next` may
-  // differ from what runs in nothing that unapplicable() names.
+  // differ from what runs in nothing that fleet_conflicts() names.
   // Not while one takes over, nor while a proxy could not be sent the message that binds it (rule 5):
   // may_reconfigure() says so.
-  bool may_reconfigure(const Site& next, Ms now) const;
-  void reconfigure(const Site& next, std::uint64_t version, std::uint64_t hash, Ms now);
+  bool may_reconfigure(const AssignerSettings& next, Ms now) const;
+  void reconfigure(const AssignerSettings& next, std::uint64_t version, std::uint64_t hash, Ms now);
   void stop(Ms now);  // no new streams; those there are told
 
   // Asks the module, if there is anything to tell it, and does what is due.
@@ -128,7 +130,7 @@
   Ms oldest_report(Ms now) const { return intake_.oldest(now); }  // that waits for the module
   bool taking_over() const { return modules_.size() > 1; }
   Fleet fleet(Ms now) const;
-  std::string list_bytes() const { return book_.to_bytes(); }
+  std::string list_bytes() const { return encode_cached_list(book_); }
   std::string status_json(Ms now) const;
   telemetry::Figures figures(Ms now);
 
@@ -208,11 +210,11 @@
   double drain_used(Ms now) const;
   void log(log::Level level, std::string event, log::Fields fields);
 
-  Site site_;
+  AssignerSettings site_;
   std::uint64_t epoch_;
   Modules modules_;
   bool sharing_ = false;  // the channel, with another module's messages
-  EndpointBook book_;
+  EndpointCatalog book_;
   Intake intake_;
   Between between_;
   std::vector<Effect> effects_;
--- a/src/assigner/schema.cpp
+++ b/src/assigner/settings_schema.cpp
@@ -1,10 +1,10 @@
-// The one schema of an assigner's settings. Defaults are a working choice for a small site; every bound is a
-// danger that someone could type.
-#include "assigner/site.h"
+// The schema of an assigner's settings: every field with its type, bounds and default. A default suits a small
+// site; every bound keeps out a value that someone could type and that would do harm.
+#include "assigner/assigner_settings.h"
 
 namespace beamshunt::assigner {
 
-const config::Source& schema() {
+const config::Source& settings_schema() {
   static const config::Source kSchema{"schema", R"cue(
 #Locality: {
   name: string & =~"^[a-z0-9][a-z0-9-]*$"
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -14,8 +14,10 @@
 #include <thread>
 
 #include "alerts/rules.h"
-#include "assigner/config_feed.h"
 #include "assigner/service.h"
+#include "assigner/startup_configuration.h"
+#include "assigner/state_folder.h"
+#include "assigner/streamed_configuration.h"
 #include "audit/sabotage.h"
 #include "base/file.h"
 #include "base/memory.h"
@@ -63,7 +65,7 @@
 };
 Kind kind_of(const std::string& kind) {
   if (kind == "day") return {day::schema(), "#Day"};
-  return {assigner::schema(), "#Assigner"};
+  return {assigner::settings_schema(), "#Assigner"};
 }
 
 net::Address address(const std::string& text, const char* what) {
@@ -100,17 +102,17 @@
 
 int serve(const std::vector<std::string>& files, const std::string& sabotage) {
   if (files.empty()) throw std::runtime_error("no settings are given to serve by");
-  std::function<assigner::Between(const assigner::Site&)> between;
+  std::function<assigner::Between(const assigner::AssignerSettings&)> between;
   bool no_gate = sabotage == "gate";  // every version that is sound in form is let in
   if (!sabotage.empty() && !no_gate)
-    between = [&](const assigner::Site& site) { return audit::sabotage(sabotage, site); };
-  assigner::serve(read_sources(files), no_gate ? assigner::Gate() : gate::judge, between);
+    between = [&](const assigner::AssignerSettings& site) { return audit::sabotage(sabotage, site); };
+  assigner::serve(read_sources(files), no_gate ? assigner::ConfigurationValidator() : gate::judge, between);
   return kWell;
 }
 
 int config_check(const std::vector<std::string>& files, const std::string& kind) {
   if (kind == "day") day::load_day(read_sources(files));
-  else assigner::load_site(read_sources(files));
+  else assigner::load_assigner_settings(read_sources(files));
   fmt::print("sound: {} file{}\n", files.size(), files.size() == 1 ? "" : "s");
   return kWell;
 }
@@ -123,10 +125,12 @@
 
 namespace {
 
-assigner::Beginning beginning_of(const VersionArguments& a) { return assigner::begin(read_sources(a.files)); }
-std::unique_ptr<configstream::Disk> versions_of(const assigner::Beginning& beginning) {
-  if (!beginning.site.control) throw std::runtime_error("these settings name no control service");
-  return configstream::folder_disk(assigner::config_folder(beginning.site.state_folder));
+assigner::StartupConfiguration beginning_of(const VersionArguments& a) {
+  return assigner::load_startup_configuration(read_sources(a.files));
+}
+std::unique_ptr<configstream::Disk> versions_of(const assigner::StartupConfiguration& beginning) {
+  if (!beginning.settings.control) throw std::runtime_error("these settings name no control service");
+  return configstream::folder_disk(assigner::configuration_folder(beginning.settings.state_folder));
 }
 const configstream::Version& known(const configstream::Ledger& ledger, std::uint64_t number) {
   const configstream::Version* v = ledger.version(number);
@@ -139,9 +143,9 @@
 int change_versions(
     const VersionArguments& a, const std::string& target,
     const std::function<std::vector<configstream::Record>(const configstream::Ledger&)>& records) {
-  assigner::Beginning beginning = beginning_of(a);
+  assigner::StartupConfiguration beginning = beginning_of(a);
   auto disk = std::shared_ptr<configstream::Disk>(versions_of(beginning));
-  const std::string& state = beginning.site.state_folder;
+  const std::string& state = beginning.settings.state_folder;
   if (auto lock = assigner::lock_state(state)) {
     configstream::Store store(disk);
     for (configstream::Record& r : records(store.ledger())) {
@@ -152,19 +156,20 @@
     fmt::print("written down for the next start\n");
     return kWell;
   }
-  if (!beginning.site.admin)
+  if (!beginning.settings.admin)
     throw std::runtime_error(
         "an assigner runs on these settings and they give it no listen.admin to be asked at");
   net::Reactor reactor;
   http::Client client(reactor, {.from = {}});
   int result = kUnusable;
-  client.ask(*beginning.site.admin, http::request("POST", target), 5000, [&](http::Client::Answer&& answer) {
-    if (answer.failure != http::Client::Failure::none)
-      std::fprintf(stderr, "beamshunt: no answer at %s: %s\n", net::to_string(*beginning.site.admin).c_str(),
-                   answer.detail.c_str());
-    else fmt::print("{}", answer.message.body), result = answer.message.status == 200 ? kWell : kBroken;
-    reactor.stop();
-  });
+  client.ask(
+      *beginning.settings.admin, http::request("POST", target), 5000, [&](http::Client::Answer&& answer) {
+        if (answer.failure != http::Client::Failure::none)
+          std::fprintf(stderr, "beamshunt: no answer at %s: %s\n",
+                       net::to_string(*beginning.settings.admin).c_str(), answer.detail.c_str());
+        else fmt::print("{}", answer.message.body), result = answer.message.status == 200 ? kWell : kBroken;
+        reactor.stop();
+      });
   reactor.run();
   return result;
 }
@@ -203,7 +208,7 @@
       if (key.type == assigner::kAlertsType) values[side][key.type + "/" + key.name] = resource.body;
       else over.push_back({key.type + "/" + key.name, resource.body});
     }
-    config::Tree tree = config::load(assigner::schema(), "#Assigner", files, over);
+    config::Tree tree = config::load(assigner::settings_schema(), "#Assigner", files, over);
     for (auto& [path, value] : config::values(tree)) values[side][path] = value;
   }
   std::size_t differences = 0;
@@ -255,11 +260,11 @@
     resources[{type, file}] = {1, read_source(file).text};
   }
   std::vector<config::Source> files = read_sources(a.files);
-  assigner::Site now = assigner::load_site(files);
-  assigner::Composed c = assigner::compose(files, resources);
+  assigner::AssignerSettings now = assigner::load_assigner_settings(files);
+  assigner::ComposedSettings c = assigner::compose(files, resources);
   std::vector<configstream::Reason> reasons = c.reasons;
   assigner::Fleet nobody;
-  if (c.site) reasons = gate::judge({now, *c.site, nobody, resources, {}});
+  if (c.settings) reasons = gate::judge({now, *c.settings, nobody, resources, {}});
   for (const configstream::Reason& r : reasons) fmt::print("{}\n", configstream::to_string(r));
   if (reasons.empty()) fmt::print("it would pass, as far as can be said without a fleet\n");
   return reasons.empty() ? kWell : kBroken;
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -137,8 +137,8 @@
 
   void read_site() {
     day_.site = tree_.at("site");
-    assigner::Site site;  // as an assigner will read it
-    assigner::read_site(day_.site, site);
+    assigner::AssignerSettings site;  // as an assigner will read it
+    assigner::read_site_settings(day_.site, site);
     day_.policy = site.policy;
     class_names_ = day_.class_names = site.class_names;
   }
@@ -217,7 +217,7 @@
 }  // namespace
 
 const config::Source& schema() {
-  static const config::Source kSchema{"schema", assigner::schema().text + kDaySchema};
+  static const config::Source kSchema{"schema", assigner::settings_schema().text + kDaySchema};
   return kSchema;
 }
 
--- a/src/day/day.h
+++ b/src/day/day.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "assigner/site.h"
+#include "assigner/assigner_settings.h"
 #include "audit/rules.h"
 #include "config/value.h"
 #include "standin/proxy_model.h"
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -132,7 +132,7 @@
   };
   struct AssignerRun {
     std::uint32_t instance = 0, locality = 0;
-    assigner::Site site;
+    assigner::AssignerSettings site;
     std::unique_ptr<Host> host;  // none while it is dead
     std::uint64_t epoch = 0, life = 0, watch = 0;
     bool watching = false, turn_due = false;
@@ -398,8 +398,8 @@
       a.site.policy = day_.policy;
       a.site.policy.seed = day_.seed + instance;
       a.site.policy.own_locality = Locality(a.locality);
-      assigner::Site shared;  // what all of the site share: limits of reports, names
-      assigner::read_site(day_.site, shared);
+      assigner::AssignerSettings shared;  // what all of the site share: limits of reports, names
+      assigner::read_site_settings(day_.site, shared);
       a.site.class_names = shared.class_names;
       a.site.report_lines_per_s = shared.report_lines_per_s;
       a.site.probe_timeout = shared.probe_timeout;
--- a/src/emulator/emulator.h
+++ b/src/emulator/emulator.h
@@ -31,12 +31,12 @@
   };
   std::vector<Server> servers;  // all up and warm
   std::vector<Proxy> proxies;
-  assigner::Site site;
+  assigner::AssignerSettings site;
   std::string list;  // that the assigner holds, sealed
   assigner::Between between{};
-  Ms channel_delay = 0;                    // each way, besides the hop
-  std::optional<assigner::Site> change{};  // what the assigner goes over to, as soon as it may:
-  Ms change_at = 0;                        // since the traffic began; only what is asked from then on counts
+  Ms channel_delay = 0;                                // each way, besides the hop
+  std::optional<assigner::AssignerSettings> change{};  // what the assigner goes over to, as soon as it may:
+  Ms change_at = 0;  // since the traffic began; only what is asked from then on counts
   std::function<void(day::Stage&)> script{};                   // as the traffic begins
   std::function<bool()> out_of_budget = [] { return false; };  // asked often; true ends it
 };
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -5,6 +5,9 @@
 #include <map>
 #include <set>
 
+#include "assigner/cached_list_codec.h"
+#include "assigner/endpoint_list_json.h"
+
 namespace beamshunt::emulator {
 namespace {
 
@@ -12,8 +15,8 @@
 
 class CoreHost final : public Host {
  public:
-  CoreHost(const assigner::Site& site, std::uint64_t epoch, std::optional<assigner::EndpointBook> warm,
-           Ms now, double wall_now, assigner::Between between)
+  CoreHost(const assigner::AssignerSettings& site, std::uint64_t epoch,
+           std::optional<assigner::EndpointCatalog> warm, Ms now, double wall_now, assigner::Between between)
       : core_(site, epoch, std::move(warm), now, wall_now) {
     core_.set_between(std::move(between));
   }
@@ -29,10 +32,11 @@
   void probe_answered(EndpointId e, AttemptOutcome o, Ms took, LoadReport load, Ms now) override {
     core_.probe_answered(e, o, took, std::move(load), now);
   }
-  bool may_reconfigure(const assigner::Site& to, Ms now) const override {
+  bool may_reconfigure(const assigner::AssignerSettings& to, Ms now) const override {
     return core_.may_reconfigure(to, now);
   }
-  void reconfigure(const assigner::Site& to, std::uint64_t version, std::uint64_t hash, Ms now) override {
+  void reconfigure(const assigner::AssignerSettings& to, std::uint64_t version, std::uint64_t hash,
+                   Ms now) override {
     core_.reconfigure(to, version, hash, now);
   }
   std::optional<telemetry::Figures> figures(Ms now) override { return core_.figures(now); }
@@ -49,8 +53,8 @@
 
 class PlainHost final : public Host {
  public:
-  PlainHost(const assigner::Site& site, std::uint64_t epoch, std::optional<assigner::EndpointBook> warm,
-            Ms now, bool by_size)
+  PlainHost(const assigner::AssignerSettings& site, std::uint64_t epoch,
+            std::optional<assigner::EndpointCatalog> warm, Ms now, bool by_size)
       : site_(site), epoch_(epoch), by_size_(by_size), ask_at_(now) {
     if (warm) book_ = std::move(*warm);
     for (std::size_t c = 0; c < site_.policy.classes.size(); ++c)
@@ -69,7 +73,7 @@
   }
   void stream_closed(StreamId s, const std::string&, Ms) override { streams_.erase(s); }
   void list_line(std::string_view json, Ms now, double) override {
-    book_.apply(assigner::parse_list(json, site_.policy.localities));
+    book_.apply(assigner::parse_endpoint_list(json, site_.policy.localities));
     ask_at_ = base::kNever;
     effects_.emplace_back(assigner::SaveList{});
     for (auto& [id, stream] : streams_)
@@ -84,7 +88,7 @@
   }
   Ms next_due() const override { return ask_at_; }
   std::vector<assigner::Effect> take_effects() override { return std::exchange(effects_, {}); }
-  std::string list_bytes() const override { return book_.to_bytes(); }
+  std::string list_bytes() const override { return encode_cached_list(book_); }
   double waiting_lines() const override { return 0; }
   Ms oldest_report(Ms) const override { return 0; }
 
@@ -119,9 +123,9 @@
   }
   Lines wanted(std::uint32_t locality, bool home) const {
     Lines here, all;
-    for (const assigner::ListEntry& e : book_.all()) {
+    for (const assigner::EndpointListEntry& e : book_.entries()) {
       if (e.state != EndpointState::available) continue;
-      double weight = by_size_ ? e.size : 1;
+      double weight = by_size_ ? e.capacity : 1;
       all[e.id] = weight;
       if (e.locality == locality) here[e.id] = weight;
     }
@@ -136,7 +140,7 @@
       for (auto& [endpoint, weight] : want) {
         auto had = s.sent[t].find(endpoint);
         if (had != s.sent[t].end() && had->second == weight) continue;
-        const assigner::ListEntry& e = *book_.find(endpoint);
+        const assigner::EndpointListEntry& e = *book_.find(endpoint);
         orders.push_back(channel::LineOrder{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
                                             e.cell, e.address.ip, e.address.port});
       }
@@ -147,12 +151,12 @@
     send(id, channel::Orders{++s.sequence, now, lines, std::move(orders)});
   }
 
-  const assigner::Site& site_;
+  const assigner::AssignerSettings& site_;
   std::uint64_t epoch_;
   bool by_size_;
   Ms ask_at_;
   std::array<std::uint64_t, 2> classes_{};
-  assigner::EndpointBook book_;
+  assigner::EndpointCatalog book_;
   std::map<StreamId, Stream> streams_;
   std::vector<assigner::Effect> effects_;
 };
@@ -194,10 +198,10 @@
   }
 }
 
-std::unique_ptr<Host> make_host(Policy policy, const assigner::Site& site, std::uint64_t epoch,
+std::unique_ptr<Host> make_host(Policy policy, const assigner::AssignerSettings& site, std::uint64_t epoch,
                                 const std::string& warm, Ms now, double wall_now, assigner::Between between) {
-  std::optional<assigner::EndpointBook> held;
-  if (!warm.empty()) held = assigner::EndpointBook::from_bytes(warm);
+  std::optional<assigner::EndpointCatalog> held;
+  if (!warm.empty()) held = assigner::decode_cached_list(warm);
   if (policy == Policy::module || policy == Policy::module_two_choice || policy == Policy::module_least_load)
     return std::make_unique<CoreHost>(site, epoch, std::move(held), now, wall_now, std::move(between));
   return std::make_unique<PlainHost>(site, epoch, std::move(held), now, policy == Policy::static_weights);
--- a/src/emulator/host.h
+++ b/src/emulator/host.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
+#include "assigner/assigner_settings.h"
 #include "assigner/core.h"
-#include "assigner/site.h"
 #include "standin/proxy_model.h"
 
 namespace beamshunt::emulator {
@@ -44,8 +44,8 @@
   virtual void probe_answered(EndpointId endpoint, AttemptOutcome outcome, Ms took, LoadReport load,
                               Ms now) = 0;
   // Other settings, as of assigner::Core; a baseline has none that may change.
-  virtual bool may_reconfigure(const assigner::Site&, Ms) const { return false; }
-  virtual void reconfigure(const assigner::Site&, std::uint64_t, std::uint64_t, Ms) {}
+  virtual bool may_reconfigure(const assigner::AssignerSettings&, Ms) const { return false; }
+  virtual void reconfigure(const assigner::AssignerSettings&, std::uint64_t, std::uint64_t, Ms) {}
   virtual std::optional<telemetry::Figures> figures(Ms) { return std::nullopt; }
   virtual void turn(Ms now) = 0;
   virtual Ms next_due() const = 0;
@@ -56,7 +56,7 @@
 };
 
 // `warm`: the list as held before, sealed; empty for none.
-std::unique_ptr<Host> make_host(Policy policy, const assigner::Site& site, std::uint64_t epoch,
+std::unique_ptr<Host> make_host(Policy policy, const assigner::AssignerSettings& site, std::uint64_t epoch,
                                 const std::string& warm, Ms now, double wall_now, assigner::Between between);
 
 }  // namespace beamshunt::emulator
--- a/src/gate/gate.cpp
+++ b/src/gate/gate.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "alerts/rules.h"
+#include "assigner/setting_effects.h"
 #include "base/time.h"
 #include "gate/prove.h"
 #include "gate/shadow.h"
@@ -31,7 +32,7 @@
   return out;
 }
 
-std::vector<Reason> judge_by_shadow(const assigner::Candidate& c) {
+std::vector<Reason> judge_by_shadow(const assigner::CandidateConfiguration& c) {
   std::vector<Reason> out;
   if (!c.now.control || c.now.control->shadow_length <= 0 || c.fleet.proxies.empty()) return out;
   ShadowOptions options;
@@ -78,7 +79,7 @@
 
 }  // namespace
 
-std::vector<Reason> judge(const assigner::Candidate& candidate) {
+std::vector<Reason> judge(const assigner::CandidateConfiguration& candidate) {
   std::vector<Reason> out = judge_alerts(candidate.resources);
   for (Reason& r : prove(candidate.now, candidate.next, candidate.fleet)) out.push_back(std::move(r));
   return out.empty() ? judge_by_shadow(candidate) : out;
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -2,11 +2,11 @@
 // then a rehearsal, within a budget of real time. Called off the loop.
 #pragma once
 
-#include "assigner/streamed.h"
+#include "assigner/configuration_validator.h"
 
 namespace beamshunt::gate {
 
 // For assigner::serve(): alerts resources, proofs, and the shadow as `control` of the present site sets it.
-std::vector<configstream::Reason> judge(const assigner::Candidate& candidate);
+std::vector<configstream::Reason> judge(const assigner::CandidateConfiguration& candidate);
 
 }  // namespace beamshunt::gate
--- a/src/gate/prove.cpp
+++ b/src/gate/prove.cpp
@@ -6,6 +6,8 @@
 #include <cmath>
 #include <set>
 
+#include "assigner/fleet_constraints.h"
+
 namespace beamshunt::gate {
 namespace {
 
@@ -26,7 +28,7 @@
 // All that speaks against settings for a fleet, whatever ran before; and against going over to them.
 class Prover {
  public:
-  Prover(const Site& now, const Site& next, const Fleet& fleet)
+  Prover(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet)
       : now_(now), next_(next), p_(next.policy), fleet_(fleet) {
     joined_ = std::max(1.0, static_cast<double>(fleet.proxies.size()));  // one may come at any time
     for (auto& s : fleet.servers) open_ += s.open;
@@ -297,7 +299,7 @@
     }
   }
 
-  const Site &now_, &next_;
+  const AssignerSettings &now_, &next_;
   const Settings& p_;
   const Fleet& fleet_;
   double joined_ = 0, open_ = 0;
@@ -306,8 +308,8 @@
 
 }  // namespace
 
-std::vector<Reason> prove(const Site& now, const Site& next, const Fleet& fleet) {
-  std::vector<Reason> out = assigner::unapplicable(now, next, fleet);
+std::vector<Reason> prove(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet) {
+  std::vector<Reason> out = assigner::fleet_conflicts(now, next, fleet);
   if (!out.empty()) return out;  // what follows goes by positions
   std::vector<Reason> had = Prover(now, now, fleet).standing();
   for (Reason& r : Prover(now, next, fleet).standing()) {
--- a/src/gate/prove.h
+++ b/src/gate/prove.h
@@ -4,15 +4,17 @@
 
 #include <vector>
 
-#include "assigner/streamed.h"
+#include "assigner/assigner_settings.h"
+#include "assigner/core.h"
+#include "configstream/wire.h"
 
 namespace beamshunt::gate {
 
+using assigner::AssignerSettings;
 using assigner::Fleet;
-using assigner::Site;
 using configstream::Reason;
 
 // Faults that `now` has as well, in the same figures, are not the change's and left out.
-std::vector<Reason> prove(const Site& now, const Site& next, const Fleet& fleet);
+std::vector<Reason> prove(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet);
 
 }  // namespace beamshunt::gate
--- a/src/gate/shadow.cpp
+++ b/src/gate/shadow.cpp
@@ -6,13 +6,14 @@
 #include <memory>
 #include <optional>
 
+#include "assigner/cached_list_codec.h"
 #include "emulator/emulator.h"
 
 namespace beamshunt::gate {
 namespace {
 
+using assigner::AssignerSettings;
 using assigner::Fleet;
-using assigner::Site;
 using day::Stage;
 using standin::ListTold;
 
@@ -24,21 +25,21 @@
 constexpr Ms kMargin = 8;                            // on times of the rules: two looks of a model
 
 // The site without what a rehearsal has no use for.
-Site plain(const Site& site) {
-  Site out = site;
+AssignerSettings plain(const AssignerSettings& site) {
+  AssignerSettings out = site;
   out.record_file.clear(), out.peers.clear(), out.control.reset(), out.remote_write.reset();
   return out;
 }
 
 // The core begins with the list that it holds: else its first orders would be those of a first start.
 std::string held_list(const Fleet& fleet) {
-  assigner::ListUpdate all{.version = 1};
+  assigner::EndpointListUpdate all{.version = 1};
   for (auto& s : fleet.servers)
     all.entries.push_back({s.id, s.locality, s.cell, s.size,
                            s.open ? EndpointState::available : EndpointState::removed, 0, s.address});
-  assigner::EndpointBook book;
+  assigner::EndpointCatalog book;
   book.apply(all);
-  return book.to_bytes();
+  return encode_cached_list(book);
 }
 
 // What a request costs, by what servers say of themselves, and then as many as keep them as busy as they are.
@@ -75,7 +76,8 @@
 
 }  // namespace
 
-Rehearsal rehearse(const Site& now, const Site& next, const Fleet& fleet, const ShadowOptions& options) {
+Rehearsal rehearse(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet,
+                   const ShadowOptions& options) {
   const Settings& policy = now.policy;
   emulator::Fixture f;
   f.site = plain(now), f.change = plain(next), f.change_at = options.settle;
--- a/src/gate/shadow.h
+++ b/src/gate/shadow.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "assigner/streamed.h"
+#include "assigner/core.h"
 #include "audit/rules.h"
 
 namespace beamshunt::gate {
@@ -31,7 +31,7 @@
 };
 
 // The narrow door to the model of servers and proxies, which is the emulator's.
-Rehearsal rehearse(const assigner::Site& now, const assigner::Site& next, const assigner::Fleet& fleet,
-                   const ShadowOptions& options);
+Rehearsal rehearse(const assigner::AssignerSettings& now, const assigner::AssignerSettings& next,
+                   const assigner::Fleet& fleet, const ShadowOptions& options);
 
 }  // namespace beamshunt::gate
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -214,7 +214,7 @@
       if (std::get_if<SaveList>(&e)) saved = rig.core.list_bytes();
   }
   ASSERT_FALSE(saved.empty());
-  Rig again(EndpointBook::from_bytes(saved), 2);
+  Rig again(decode_cached_list(saved), 2);
   StreamId p = again.join(0);
   again.core.list_lost("refused", again.now);
   again.live({p}, 500);
--- a/tests/assigner/parts_test.cpp
+++ b/tests/assigner/parts_test.cpp
@@ -1,8 +1,11 @@
-// The parts of an assigner by themselves: settings, the list's book, the intake of reports.
+// The parts of an assigner by themselves: settings, the endpoint catalog and its codecs, the intake of reports.
 #include <gtest/gtest.h>
 
+#include <tuple>
+
+#include "assigner/cached_list_codec.h"
+#include "assigner/endpoint_list_json.h"
 #include "assigner/intake.h"
-#include "assigner/list_feed.h"
 #include "assigner/rig.h"
 
 namespace beamshunt::assigner::test {
@@ -10,7 +13,7 @@
 
 std::string refused(const std::string& more) {
   try {
-    load_site({{"site.cue", kSite}, {"more.cue", more}});
+    load_assigner_settings({{"site.cue", kSite}, {"more.cue", more}});
   } catch (const config::ConfigError& error) {
     return error.what();
   }
@@ -18,7 +21,7 @@
 }
 
 TEST(SiteSettings, DefaultsBoundsAndMeaning) {
-  Site site = load_site({{"site.cue", kSite}});
+  AssignerSettings site = load_assigner_settings({{"site.cue", kSite}});
   EXPECT_EQ(site.policy.classes.size(), 2u);
   EXPECT_TRUE(site.policy.classes[1].local_only);
   EXPECT_EQ(site.policy.max_messages_per_window, 30);
@@ -27,6 +30,8 @@
   EXPECT_EQ(refused("site: reports: period: 250ms"), "taken");
 }
 
+// Someone types a value that can't be right. The assigner must not start with it, and the message must lead to the
+// line, the column and the setting.
 TEST(SiteSettings, WhatCannotBeIsRefusedWithItsPlace) {
   EXPECT_NE(refused("site: channel: messages: -1").find("more.cue:1:26: site.channel.messages"),
             std::string::npos);
@@ -38,7 +43,7 @@
   auto load = [](std::string text, const std::string& from, const std::string& to) {
     text.replace(text.find(from), from.size(), to);
     try {
-      load_site({{"site.cue", text}});
+      load_assigner_settings({{"site.cue", text}});
     } catch (const config::ConfigError& error) {
       return std::string(error.what());
     }
@@ -56,38 +61,45 @@
   EXPECT_NE(load(kSite, "instance: 7", "instance: 0").find("an instance is given twice"), std::string::npos);
 }
 
-TEST(EndpointBook, AStartKeepsItsInstantWhateverTheClocksDo) {
-  EndpointBook book;
-  ListEntry e{.id = 5, .started_wall_ms = 900000, .address = {1, 1}};
-  Time first = book.listed({e}, 5000, 1000000)[0].start_time;
+// The wall clock steps while an endpoint runs. Computed anew, its start would move, and the policy would take that
+// for a restart and send it less.
+TEST(EndpointCatalog, AStartKeepsItsInstantWhateverTheClocksDo) {
+  EndpointCatalog catalog;
+  EndpointListEntry entry{.id = 5, .start_wall_ms = 900000, .address = {1, 1}};
+  Time first = catalog.to_listed({entry}, 5000, 1000000)[0].start_time;
   EXPECT_EQ(first, Time(Duration(5000 - 100000)));
-  EXPECT_EQ(book.listed({e}, 6000, 1500000)[0].start_time, first);  // the wall clock stepped: no restart
-  e.started_wall_ms = 1600000;
-  EXPECT_EQ(book.listed({e}, 7000, 1500000)[0].start_time,
+  EXPECT_EQ(catalog.to_listed({entry}, 6000, 1500000)[0].start_time,
+            first);  // the wall clock stepped: no restart
+  entry.start_wall_ms = 1600000;
+  EXPECT_EQ(catalog.to_listed({entry}, 7000, 1500000)[0].start_time,
             Time(Duration(7000)));  // from the future: just now
 }
 
-TEST(EndpointBook, BytesKeepTheListAndDamageIsNoticed) {
-  EndpointBook book;
-  book.apply(
-      {true, 9, {{.id = 5, .locality = 1, .size = 2, .address = {7, 8}}, {.id = 6, .address = {7, 9}}}});
-  std::string bytes = book.to_bytes();
-  EXPECT_EQ(EndpointBook::from_bytes(bytes).all(), book.all());
-  EXPECT_EQ(EndpointBook::from_bytes(bytes).version(), 9u);
+// The cached list is half written or damaged on disk. The assigner must notice and not start from endpoints that
+// are not there.
+TEST(EndpointCatalog, BytesKeepTheListAndDamageIsNoticed) {
+  EndpointCatalog catalog;
+  catalog.apply(
+      {true, 9, {{.id = 5, .locality = 1, .capacity = 2, .address = {7, 8}}, {.id = 6, .address = {7, 9}}}});
+  std::string bytes = encode_cached_list(catalog);
+  EXPECT_EQ(decode_cached_list(bytes).entries(), catalog.entries());
+  EXPECT_EQ(decode_cached_list(bytes).version(), 9u);
   for (std::size_t k = 0; k < bytes.size(); ++k) {
     std::string bad = bytes;
     bad[k] = static_cast<char>(bad[k] ^ 1);
-    EXPECT_THROW(EndpointBook::from_bytes(bad), std::runtime_error) << k;
-    EXPECT_THROW(EndpointBook::from_bytes(bytes.substr(0, k)), std::runtime_error) << k;
+    EXPECT_THROW(std::ignore = decode_cached_list(bad), CachedListError) << k;
+    EXPECT_THROW(std::ignore = decode_cached_list(bytes.substr(0, k)), CachedListError) << k;
   }
 }
 
-TEST(EndpointBook, ATotalListEndsWhatItDoesNotName) {
-  EndpointBook book;
-  book.apply({true, 1, {{.id = 5, .address = {7, 8}}, {.id = 6, .address = {7, 9}}}});
-  book.apply({true, 2, {{.id = 6, .address = {7, 9}}}});
-  EXPECT_EQ(book.all().size(), 1u);
-  EXPECT_TRUE(book.find(5));  // still known by address: a drain may have to name it
+// An endpoint is missing from a complete list. It gets no more requests, but a drain may still have to name its
+// address.
+TEST(EndpointCatalog, ATotalListEndsWhatItDoesNotName) {
+  EndpointCatalog catalog;
+  catalog.apply({true, 1, {{.id = 5, .address = {7, 8}}, {.id = 6, .address = {7, 9}}}});
+  catalog.apply({true, 2, {{.id = 6, .address = {7, 9}}}});
+  EXPECT_EQ(catalog.entries().size(), 1u);
+  EXPECT_TRUE(catalog.find(5));  // still known by address: a drain may have to name it
 }
 
 TEST(Intake, SumsByPairAndGivesTheLongestWaitingFirstAtItsPace) {
@@ -114,6 +126,7 @@
   EXPECT_EQ(intake.waiting(), 0u);
 }
 
+// No reports come for a minute, then many at once. The policy is given a second's worth, not a minute's.
 TEST(Intake, AnIdlePaceIsNotSavedUpForMoreThanASecond) {
   Intake intake(10);
   intake.release(0);
--- a/tests/assigner/rig.h
+++ b/tests/assigner/rig.h
@@ -45,7 +45,7 @@
 }
 
 struct Rig {
-  Site site = load_site({{"site.cue", kSite}});
+  AssignerSettings site = load_assigner_settings({{"site.cue", kSite}});
   Ms now = 1000000;
   Core core;
   std::map<StreamId, std::vector<channel::Frame>> inbox;
@@ -56,7 +56,7 @@
   std::string record;
   std::uint64_t next_stream = 1;
 
-  explicit Rig(std::optional<EndpointBook> warm = std::nullopt, std::uint64_t epoch = 1)
+  explicit Rig(std::optional<EndpointCatalog> warm = std::nullopt, std::uint64_t epoch = 1)
       : core(site, epoch, std::move(warm), now, 5e11 + now) {}
 
   void turn() {
--- a/tests/assigner/streamed_test.cpp
+++ b/tests/assigner/streamed_configuration_test.cpp
@@ -1,8 +1,11 @@
 // Versions of streamed settings: what they make of the files, and how a running core takes them.
-#include "assigner/streamed.h"
+#include "assigner/streamed_configuration.h"
 
 #include <gtest/gtest.h>
 
+#include <tuple>
+
+#include "assigner/fleet_constraints.h"
 #include "assigner/rig.h"
 #include "record/record.h"
 
@@ -13,26 +16,28 @@
 
 const std::vector<config::Source> kFiles{{"site.cue", kSite}};
 
-Composed with(const std::string& type, const std::string& body) {
+ComposedSettings with(const std::string& type, const std::string& body) {
   return compose(kFiles, {{{type, "site"}, {7, body}}});
 }
-std::string first(const Composed& c) {
+std::string first(const ComposedSettings& c) {
   return c.reasons.empty() ? "" : c.reasons[0].path + " | " + c.reasons[0].reason;
 }
 
-TEST(Streamed, AResourceTakesThePlaceOfWhatTheFileGivesAndNothingElse) {
-  Composed c = with("limits", "site: channel: delay_most: 300ms");
-  ASSERT_TRUE(c.site) << first(c);
-  EXPECT_EQ(c.site->policy.max_update_delay.count(), 300);
-  EXPECT_EQ(c.site->policy.update_delay.count(), 20) << "its neighbour is still the file's";
-  EXPECT_EQ(c.site->policy.localities.size(), 2u);
+TEST(StreamedConfiguration, AResourceTakesThePlaceOfWhatTheFileGivesAndNothingElse) {
+  ComposedSettings c = with("limits", "site: channel: delay_most: 300ms");
+  ASSERT_TRUE(c.settings) << first(c);
+  EXPECT_EQ(c.settings->policy.max_update_delay.count(), 300);
+  EXPECT_EQ(c.settings->policy.update_delay.count(), 20) << "its neighbour is still the file's";
+  EXPECT_EQ(c.settings->policy.localities.size(), 2u);
   c = with("localities",
            R"(site: localities: [{name: "north", prefixes: ["127.10.0.0/16", "127.11.0.0/16"]}])");
-  ASSERT_TRUE(c.site) << first(c);
-  EXPECT_EQ(c.site->policy.localities.size(), 1u) << "a list is one value";
+  ASSERT_TRUE(c.settings) << first(c);
+  EXPECT_EQ(c.settings->policy.localities.size(), 1u) << "a list is one value";
 }
 
-TEST(Streamed, WhatATypeDoesNotGiveIsRefusedWithItsPlace) {
+// A resource gives a field that is not its type's, or text that can't be read. The version is rejected, and the
+// reason names the resource, the line and the field.
+TEST(StreamedConfiguration, WhatATypeDoesNotGiveIsRefusedWithItsPlace) {
   EXPECT_EQ(first(with("limits", "\n  instance: 3")),
             "instance | limits/site@7:2:3: only the assigner's own file gives this");
   EXPECT_EQ(first(with("classes", "site: proxies: 3")),
@@ -43,14 +48,14 @@
   EXPECT_NE(first(with("limits", "site: channel: delay: 5")).find("limits/site@7:1:23: expected a duration"),
             std::string::npos);
   EXPECT_NE(first(with("limits", "site: channel: dealy: 5ms")).find("site.channel.dealy"), std::string::npos);
-  Composed two = compose(kFiles, {{{"limits", "a"}, {1, "site: channel: delay: 3ms"}},
-                                  {{"limits", "b"}, {2, "site: channel: delay: 4ms"}}});
+  ComposedSettings two = compose(kFiles, {{{"limits", "a"}, {1, "site: channel: delay: 3ms"}},
+                                          {{"limits", "b"}, {2, "site: channel: delay: 4ms"}}});
   EXPECT_NE(first(two).find("conflicts with 3ms at limits/a@1"), std::string::npos) << first(two);
 }
 
 // Every field of the schema says how a change of it takes effect, and every one that may be streamed has a
 // type.
-TEST(Streamed, EveryFieldOfTheSchemaHasAWayToTakeEffect) {
+TEST(StreamedConfiguration, EveryFieldOfTheSchemaHasAWayToTakeEffect) {
   std::string all = kSite;
   all += R"(
 admit: ["127.0.0.0/8"]
@@ -59,7 +64,7 @@
 control: {origin: "ops", services: ["127.10.0.9:7300"]}
 remote_write: {url: "http://127.10.0.8:9090/w", credentials: {kind: "bearer", file: "x"}}
 )";
-  config::Tree tree = config::load(schema(), "#Assigner", {{"all.cue", all}});
+  config::Tree tree = config::load(settings_schema(), "#Assigner", {{"all.cue", all}});
   std::size_t fields = 0;
   for (const std::string& path : config::paths(tree)) {
     TakesEffect effect{};
@@ -74,11 +79,11 @@
     EXPECT_EQ(has_type, effect != TakesEffect::file_only) << path;
   }
   EXPECT_GT(fields, 60u);
-  EXPECT_THROW(takes_effect("sight.channel"), std::logic_error);
+  EXPECT_THROW(std::ignore = takes_effect("sight.channel"), std::logic_error);
 }
 
 // And each does as it says: a changed value makes a fresh module exactly where one is announced.
-TEST(Streamed, EachFieldTakesEffectAsItSays) {
+TEST(StreamedConfiguration, EachFieldTakesEffectAsItSays) {
   const std::vector<std::pair<const char*, const char*>> kChanges{
       {"site.proxies", "site: proxies: 9"},
       {"site.default_retry", "site: default_retry: \"once\""},
@@ -123,9 +128,9 @@
       {"site.localities", R"(site: localities: [{name: "north", prefixes: ["127.10.0.0/16"]},
                           {name: "south", prefixes: ["127.20.0.0/16"]}, {name: "west", prefixes: []}])"}};
   for (auto& [path, text] : kChanges) {
-    Site next;
+    AssignerSettings next;
     try {
-      next = to_site(config::load(schema(), "#Assigner", kFiles, {{"next.cue", text}}));
+      next = to_assigner_settings(config::load(settings_schema(), "#Assigner", kFiles, {{"next.cue", text}}));
     } catch (const config::ConfigError& error) {
       FAIL() << path << ": " << error.what();
     }
@@ -184,11 +189,13 @@
       for (StreamId id : streams) held[id].follow(rig, id);
     }
   }
-  Site changed(const std::string& text) {
-    return to_site(config::load(schema(), "#Assigner", kFiles, {{"next.cue", text}}));
+  AssignerSettings changed(const std::string& text) {
+    return to_assigner_settings(config::load(settings_schema(), "#Assigner", kFiles, {{"next.cue", text}}));
   }
 };
 
+// A version changes a guarantee, so a new controller takes over proxy by proxy. A proxy that had no endpoints in
+// between would fail its requests.
 TEST_F(Takeover, NoProxyIsEverWithoutLinesAndAllAreTakenOver) {
   begin(6);
   rig.core.reconfigure(changed("site: guarantees: warm_up: 5s"), 2, 99, rig.now);
@@ -226,6 +233,8 @@
   EXPECT_TRUE(record::replay(rig.record).same());
 }
 
+// Version after version starts a new controller, which knows nothing of the messages that the former one sent. Both
+// together must stay within the limits of each proxy and of the channel.
 TEST_F(Takeover, MessagesAndLinesOfBothModulesTogetherKeepTheLimits) {
   begin(6);
   std::string few = "site: channel: {messages: 6, span: 3s}";
@@ -233,7 +242,7 @@
   go(4000);
   int times_taken = 0;
   for (int k = 0; k < 12; ++k) {  // a fresh module each 300 ms would forget what its formers sent
-    Site next = changed(few + fmt::format("\nsite: proxies: {}", 7 + k));
+    AssignerSettings next = changed(few + fmt::format("\nsite: proxies: {}", 7 + k));
     if (rig.core.may_reconfigure(next, rig.now)) rig.core.reconfigure(next, 3, 99, rig.now), ++times_taken;
     for (int step = 0; step < 6; ++step) {
       go(50);
@@ -254,6 +263,7 @@
   EXPECT_FALSE(rig.core.taking_over());
 }
 
+// While the handover is under way a proxy leaves, another joins and one returns. Each must be taken over once.
 TEST_F(Takeover, ProxiesThatComeGoOrReturnMeanwhileFindTheirPlace) {
   begin(8);
   std::string slow = "site: {proxies: 12, channel: {lines_per_s: 60/s, most_waiting_lines: 60}}";
@@ -283,13 +293,15 @@
   EXPECT_EQ(welcomes[1].epoch, welcomes[0].epoch);
 }
 
+// Proxies and endpoint lists go by the positions of localities and classes. A version that moves one while they are
+// connected would make them take one for another: it is rejected with its reason.
 TEST_F(Takeover, WhatJoinedProxiesAndListsGoByCannotChange) {
   begin(2);
   Fleet fleet = rig.core.fleet(rig.now);
   EXPECT_EQ(fleet.servers.size(), 6u);
   EXPECT_EQ(fleet.proxies.size(), 2u);
   auto why = [&](const std::string& text) {
-    auto reasons = unapplicable(rig.site, changed(text), fleet);
+    auto reasons = fleet_conflicts(rig.site, changed(text), fleet);
     return reasons.empty() ? "" : reasons[0].path + ": " + reasons[0].reason;
   };
   EXPECT_EQ(why("site: proxies: 9"), "");
--- a/tests/gate/gate_test.cpp
+++ b/tests/gate/gate_test.cpp
@@ -4,6 +4,8 @@
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
+#include "assigner/setting_effects.h"
+#include "assigner/streamed_configuration.h"
 #include "audit/sabotage.h"
 #include "gate/changes.h"
 #include "gate/prove.h"
@@ -15,8 +17,8 @@
 using test::Change;
 
 const std::vector<config::Source> kFiles{{"present.cue", test::kPresent}};
-const Site& present() {
-  static const Site kSite = assigner::load_site(kFiles);
+const AssignerSettings& present() {
+  static const AssignerSettings kSite = assigner::load_assigner_settings(kFiles);
   return kSite;
 }
 
@@ -42,22 +44,22 @@
   return f;
 }
 
-std::vector<Reason> all_of_it(const Change& change, const assigner::Gate& gate) {
+std::vector<Reason> all_of_it(const Change& change, const assigner::ConfigurationValidator& gate) {
   configstream::Resources resources{{{change.type, "site"}, {2, change.body}}};
-  assigner::Composed composed = assigner::compose(kFiles, resources);
-  if (!composed.site) return composed.reasons;
+  assigner::ComposedSettings composed = assigner::compose(kFiles, resources);
+  if (!composed.settings) return composed.reasons;
   std::vector<std::string> changed;
   if (std::string(change.type) != assigner::kAlertsType)
     for (auto& [path, at] : config::given_paths({"next", change.body})) changed.push_back(path);
   Fleet fleet = fleet_of(change.fleet);
-  return gate({present(), *composed.site, fleet, resources, changed});
+  return gate({present(), *composed.settings, fleet, resources, changed});
 }
 
 struct Score {
   std::size_t caught = 0, missed = 0, well = 0, wrongly = 0;
   std::vector<std::string> wrong;
 };
-Score score(const assigner::Gate& gate) {
+Score score(const assigner::ConfigurationValidator& gate) {
   Score out;
   for (const Change& change : test::harmful()) {
     auto reasons = all_of_it(change, gate);
@@ -92,15 +94,16 @@
 }
 
 TEST(Gate, AGateBrokenOnPurposeIsSeenToBe) {
-  EXPECT_FALSE(good(score([](const assigner::Candidate&) { return std::vector<Reason>{}; })));
-  EXPECT_FALSE(good(score([](const assigner::Candidate& c) { return prove(c.now, c.next, c.fleet); })))
-      << "neither alerts nor rehearsal";
-  EXPECT_FALSE(good(score([](const assigner::Candidate& c) {
+  EXPECT_FALSE(good(score([](const assigner::CandidateConfiguration&) { return std::vector<Reason>{}; })));
+  EXPECT_FALSE(good(score([](const assigner::CandidateConfiguration& c) {
+    return prove(c.now, c.next, c.fleet);
+  }))) << "neither alerts nor rehearsal";
+  EXPECT_FALSE(good(score([](const assigner::CandidateConfiguration& c) {
     auto out = judge(c);
     std::erase_if(out, [](const Reason& r) { return r.rule == "rule 4"; });
     return out;
   }))) << "blind to one rule";
-  EXPECT_FALSE(good(score([](const assigner::Candidate&) {
+  EXPECT_FALSE(good(score([](const assigner::CandidateConfiguration&) {
     return std::vector<Reason>{{"rule 1", "", "no", ""}};
   }))) << "refuses all";
 }
@@ -140,7 +143,7 @@
 TEST(Gate, AFaultThatIsThereAlreadyIsNotTheChanges) {
   Fleet fleet = fleet_of(test::Fleet::warm);
   for (std::uint32_t k = 8; k < 400; ++k) fleet.proxies.push_back({k, 0, 40, 0, fleet.proxies[0].from});
-  Site next = present();
+  AssignerSettings next = present();
   next.policy.connection_idle_timeout = Duration(9000);
   EXPECT_TRUE(prove(present(), next, fleet).empty()) << "the fleet grew; idle times did not do it";
   next.policy.drain_grace_period = Duration(50);
--- a/tests/process_test.sh
+++ b/tests/process_test.sh
@@ -63,7 +63,7 @@
 printf 'x' >"$work/state/list"; printf 'x' >"$work/state/epoch"; : >"$work/log"
 "$program" serve "$work/site.cue" "$work/log.cue" "$work/record.cue" & assigner=$!; pids+=($assigner)
 wait_for '"event":"serving"' "$work/log"
-for event in record_cut warm_list_refused epoch_refused; do wait_for "\"event\":\"$event\"" "$work/log"; done
+for event in flight_record_truncated cached_list_rejected epoch_rejected; do wait_for "\"event\":\"$event\"" "$work/log"; done
 wait_for '"event":"proxy_joined","proxy":"3"' "$work/log"
 # SIGTERM: the streams are told, the end is in order.
 kill -TERM $assigner; wait $assigner; code=$?
