--- a/src/assigner/admin_server.cpp
+++ b/src/assigner/admin_server.cpp
@@ -34,7 +34,7 @@
       configuration_(std::move(configuration)),
       server_(
           reactor, address,
-          [this](http::Message&& request, http::Responder responder) { handle(request, responder); },
+          [this](http::Message&& request, const http::Responder& responder) { handle(request, responder); },
           server_options(log)) {}
 
 void AdminServer::handle(const http::Message& request, const http::Responder& responder) {
--- a/src/assigner/admin_server.h
+++ b/src/assigner/admin_server.h
@@ -1,5 +1,5 @@
-// HTTP for operators and tools: health, status, configuration versions and alert rules. Each request is answered
-// once; changes are made by POST.
+// HTTP for operators and tools: health, status, configuration versions and alert rules. Each request is
+// answered once; changes are made by POST.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,9 @@
 
 class AdminServer {
  public:
-  // `status_json` gives the body of /v1/status. `configuration` gives the manager, null if there is no control
-  // service; both are called on the reactor's thread. Throws std::exception if the address can't be used.
+  // `status_json` gives the body of /v1/status. `configuration` gives the manager, null if there is no
+  // control service; both are called on the reactor's thread. Throws std::exception if the address can't be
+  // used.
   AdminServer(net::Reactor& reactor, net::Address address, log::Log& log,
               std::function<std::string()> status_json, std::function<ConfigurationManager*()> configuration);
 
--- a/src/assigner/cached_list_codec.cpp
+++ b/src/assigner/cached_list_codec.cpp
@@ -19,7 +19,8 @@
 
 namespace {
 
-// Of the format. A reader refuses any other: fields that it guessed would become endpoints that are not there.
+// Of the format. A reader refuses any other: fields that it guessed would become endpoints that are not
+// there.
 constexpr std::uint16_t kFormatVersion = 1;
 
 }  // namespace
--- a/src/assigner/cached_list_writer.h
+++ b/src/assigner/cached_list_writer.h
@@ -13,8 +13,8 @@
 
 class CachedListWriter {
  public:
-  // `list_bytes` gives the list as it is, on the reactor's thread. All arguments outlive the last save; `disk`
-  // must end before this object.
+  // `list_bytes` gives the list as it is, on the reactor's thread. All arguments outlive the last save;
+  // `disk` must end before this object.
   CachedListWriter(net::Reactor& reactor, base::Worker& disk, StateFolder& state, log::Log& log,
                    std::function<std::string()> list_bytes);
 
--- a/src/assigner/candidate_checker.cpp
+++ b/src/assigner/candidate_checker.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Bytes of candidates that wait for their check; more than one waits only if a service ignores its answers.
-constexpr std::size_t kMaxQueuedBytes = 64 * 1048576;
+constexpr std::size_t kMaxQueuedBytes = std::size_t{64} << 20;
 // Memory of a request besides its resources' text: settings, fleet.
 constexpr std::size_t kRequestBytes = 65536;
 
--- a/src/assigner/candidate_checker.h
+++ b/src/assigner/candidate_checker.h
@@ -47,8 +47,8 @@
   CandidateChecker(const CandidateChecker&) = delete;
   CandidateChecker& operator=(const CandidateChecker&) = delete;
 
-  // Calls `done` on the reactor's thread, not after this object is destroyed. False: too many checks wait, and
-  // `done` is not called.
+  // Calls `done` on the reactor's thread, not after this object is destroyed. False: too many checks wait,
+  // and `done` is not called.
   bool check(CandidateRequest request, Done done);
 
  private:
--- a/src/assigner/configuration_journal.cpp
+++ b/src/assigner/configuration_journal.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Bytes of records that wait for the disk; beyond it a version is answered as not kept, so it is not lost.
-constexpr std::size_t kMaxQueuedBytes = 64 * 1048576;
+constexpr std::size_t kMaxQueuedBytes = std::size_t{64} << 20;
 // Memory of a record besides the text of its resources.
 constexpr std::size_t kRecordBytes = 1024;
 
@@ -38,7 +38,7 @@
   store_.add(record);
 }
 
-void ConfigurationJournal::append(configstream::Record record, Done done) {
+void ConfigurationJournal::append(configstream::Record record, const Done& done) {
   record.wall_ms = wall_ms();
   std::size_t size = size_of(record);
   bool queued = disk_.post(size, [this, alive = alive_, record = std::move(record), done] {
--- a/src/assigner/configuration_journal.h
+++ b/src/assigner/configuration_journal.h
@@ -34,9 +34,9 @@
   void append_now(configstream::Record record);  // throws std::runtime_error if it can't be written
 
   // Writes a record, its time being now. `done` may be null.
-  void append(configstream::Record record, Done done);
-  // The content of a version, and the hash of a version that was reverted; nothing if there is none. False: the
-  // disk is behind, and no callback comes.
+  void append(configstream::Record record, const Done& done);
+  // The content of a version, and the hash of a version that was reverted; nothing if there is none. False:
+  // the disk is behind, and no callback comes.
   bool find_version(std::uint64_t number, VersionFound found);
   bool find_reverted_hash(std::uint64_t number, HashFound found);
 
--- a/src/assigner/configuration_manager.cpp
+++ b/src/assigner/configuration_manager.cpp
@@ -19,7 +19,8 @@
 
 // ms between samples of the figures: a trial of some seconds must see a fault more than once.
 constexpr Ms kSampleInterval = 250;
-// ms between looks for room to take over: a wait that is short against the time that a service gives a version.
+// ms between looks for room to take over: a wait that is short against the time that a service gives a
+// version.
 constexpr Ms kReadyInterval = 20;
 // ms for which a checked version may wait for room. Then it is rejected, so that its service hears an answer.
 constexpr Ms kReadyTimeout = 30000;
@@ -336,7 +337,7 @@
 
 // ---- Operators ----
 
-void ConfigurationManager::roll_back(std::uint64_t number, Done done) {
+void ConfigurationManager::roll_back(std::uint64_t number, const Done& done) {
   bool queued = journal_->find_version(number, [this, number, done](const std::optional<Version>& version) {
     on_rollback_found(number, version, done);
   });
@@ -365,23 +366,21 @@
   }
 }
 
-void ConfigurationManager::pin(Done done) {
+void ConfigurationManager::pin(const Done& done) {
   const Version& version = client_.in_force();
   client_.pin(version.number, reactor_.now());
   schedule_run();
-  journal_->append({.kind = Record::Kind::pinned, .number = version.number, .hash = version.hash},
-                   std::move(done));
+  journal_->append({.kind = Record::Kind::pinned, .number = version.number, .hash = version.hash}, done);
 }
 
-void ConfigurationManager::unpin(Done done) {
+void ConfigurationManager::unpin(const Done& done) {
   client_.pin(std::nullopt, reactor_.now());
   schedule_run();
   const Version& version = client_.in_force();
-  journal_->append({.kind = Record::Kind::unpinned, .number = version.number, .hash = version.hash},
-                   std::move(done));
+  journal_->append({.kind = Record::Kind::unpinned, .number = version.number, .hash = version.hash}, done);
 }
 
-void ConfigurationManager::forgive(std::uint64_t number, Done done) {
+void ConfigurationManager::forgive(std::uint64_t number, const Done& done) {
   bool queued = journal_->find_reverted_hash(number, [this, number, done](std::optional<std::uint64_t> hash) {
     if (!hash) return done(fmt::format("version {} never went back", number));
     client_.forgive(*hash);
--- a/src/assigner/configuration_manager.h
+++ b/src/assigner/configuration_manager.h
@@ -1,9 +1,9 @@
-// Streamed configuration in a running assigner. Carries out what configstream::Client decides: a version that is
-// offered is checked, stored, applied once the fleet has room for it, and then on trial; one that fails its trial
-// gives way to the last good one. Operators roll back, pin and unpin through it.
+// Streamed configuration in a running assigner. Carries out what configstream::Client decides: a version that
+// is offered is checked, stored, applied once the fleet has room for it, and then on trial; one that fails
+// its trial gives way to the last good one. Operators roll back, pin and unpin through it.
 //
-// Decides nothing itself: the order of versions is configstream::Client's, the check the validator's, the trial
-// version_trial's, when a version may be applied the core's.
+// Decides nothing itself: the order of versions is configstream::Client's, the check the validator's, the
+// trial version_trial's, when a version may be applied the core's.
 #pragma once
 
 #include <cstdint>
@@ -42,8 +42,8 @@
  public:
   using Done = ConfigurationJournal::Done;  // an empty failure: it is done, and on disk
 
-  // `startup.settings.control` is set. `host` outlives the manager. Throws std::runtime_error if the versions on
-  // disk can't be read or written.
+  // `startup.settings.control` is set. `host` outlives the manager. Throws std::runtime_error if the versions
+  // on disk can't be read or written.
   ConfigurationManager(net::Reactor& reactor, std::vector<config::Source> files,
                        const StartupConfiguration& startup, ConfigurationValidator validator,
                        ConfigurationHost& host);
@@ -52,10 +52,10 @@
   ConfigurationManager& operator=(const ConfigurationManager&) = delete;
 
   // What operators ask for; `done` must not be null.
-  void roll_back(std::uint64_t number, Done done);  // to a version on disk, which is pinned
-  void pin(Done done);                              // the version in force: no other is accepted
-  void unpin(Done done);
-  void forgive(std::uint64_t number, Done done);  // a version that was reverted may be offered again
+  void roll_back(std::uint64_t number, const Done& done);  // to a version on disk, which is pinned
+  void pin(const Done& done);                              // the version in force: no other is accepted
+  void unpin(const Done& done);
+  void forgive(std::uint64_t number, const Done& done);  // a version that was reverted may be offered again
 
   [[nodiscard]] std::string status_json() const;
   void add_to(telemetry::Figures& figures) const;
--- a/src/assigner/discovery_connection.cpp
+++ b/src/assigner/discovery_connection.cpp
@@ -7,7 +7,7 @@
 
 // Bytes of one line: room for the lists of the largest sites. A service that never ends its line must not
 // fill the memory.
-constexpr std::size_t kMaxLineBytes = 64 * 1048576;
+constexpr std::size_t kMaxLineBytes = std::size_t{64} << 20;
 
 }  // namespace
 
@@ -38,7 +38,7 @@
   if (watch_ != 0) client_.cancel(std::exchange(watch_, 0));
 }
 
-void DiscoveryConnection::on_piece(std::string& unfinished, std::string_view piece) {
+void DiscoveryConnection::on_piece(std::string& unfinished, std::string_view piece) const {
   unfinished.append(piece);
   for (std::size_t end; (end = unfinished.find('\n')) != std::string::npos; unfinished.erase(0, end + 1)) {
     if (end == 0) events_.heartbeat();
@@ -64,7 +64,7 @@
               [this](http::Client::Answer&& answer) { on_fetched(answer); });
 }
 
-void DiscoveryConnection::on_fetched(const http::Client::Answer& answer) {
+void DiscoveryConnection::on_fetched(const http::Client::Answer& answer) const {
   if (answer.failure != http::Client::Failure::none || answer.message.status != 200)
     events_.failed("fetch failed: " + answer.detail);
   else events_.line(answer.message.body);
--- a/src/assigner/discovery_connection.h
+++ b/src/assigner/discovery_connection.h
@@ -1,5 +1,6 @@
-// HTTP to the discovery service: the watch, a response that goes on for as long as it is open and brings one list
-// change a line, and single fetches of the complete list. Moves lines; when to watch or fetch is the core's.
+// HTTP to the discovery service: the watch, a response that goes on for as long as it is open and brings one
+// list change a line, and single fetches of the complete list. Moves lines; when to watch or fetch is the
+// core's.
 #pragma once
 
 #include <cstdint>
@@ -34,9 +35,9 @@
   void fetch(Ms timeout);
 
  private:
-  void on_piece(std::string& unfinished, std::string_view piece);
+  void on_piece(std::string& unfinished, std::string_view piece) const;
   void on_watch_ended(const http::Client::Answer& answer);
-  void on_fetched(const http::Client::Answer& answer);
+  void on_fetched(const http::Client::Answer& answer) const;
   [[nodiscard]] http::Message request(const char* path) const;
 
   http::Client& client_;
--- a/src/assigner/endpoint_catalog.h
+++ b/src/assigner/endpoint_catalog.h
@@ -1,7 +1,8 @@
-// The endpoints that the discovery service has listed: the latest entry of each, and whether it is still listed.
+// The endpoints that the discovery service has listed: the latest entry of each, and whether it is still
+// listed.
 //
-// Holds state only: parsing is in endpoint_list_json, the cached copy's bytes are in cached_list_codec. It opens
-// no socket, reads no clock and decides nothing.
+// Holds state only: parsing is in endpoint_list_json, the cached copy's bytes are in cached_list_codec. It
+// opens no socket, reads no clock and decides nothing.
 #pragma once
 
 #include <cstdint>
@@ -39,14 +40,14 @@
 
 class EndpointCatalog {
  public:
-  // Applies an update. Endpoints that a complete update leaves out are no longer listed, but find() still knows
-  // their address: a drain may have to name them. Returns the ids of the endpoints it concerns, whether the
-  // update names them or leaves them out.
+  // Applies an update. Endpoints that a complete update leaves out are no longer listed, but find() still
+  // knows their address: a drain may have to name them. Returns the ids of the endpoints it concerns, whether
+  // the update names them or leaves them out.
   std::vector<std::uint32_t> apply(const EndpointListUpdate& update);
 
-  // `entries` as the policy's events give them. `now` is monotonic, `wall_now` ms since 1970. A start given in
-  // wall time is converted to a monotonic instant once and kept: if a step of either clock moved it, the policy
-  // would take the endpoint for restarted and warm it up again.
+  // `entries` as the policy's events give them. `now` is monotonic, `wall_now` ms since 1970. A start given
+  // in wall time is converted to a monotonic instant once and kept: if a step of either clock moved it, the
+  // policy would take the endpoint for restarted and warm it up again.
   std::vector<ListedEndpoint> to_listed(const std::vector<EndpointListEntry>& entries, Ms now,
                                         double wall_now);
 
--- a/src/assigner/endpoint_list_json.cpp
+++ b/src/assigner/endpoint_list_json.cpp
@@ -29,7 +29,8 @@
 double number(const json& object, const char* name, double least, double most) {
   const json& value = field(object, name);
   double x = value.is_number() ? value.get<double>() : NAN;
-  if (!(x >= least && x <= most))
+  bool in_range = x >= least && x <= most;  // false of NaN, as which anything but a number is read
+  if (!in_range)
     throw EndpointListError(
         name, value.dump(),
         fmt::format("{} is {}, not a number from {} to {}", name, value.dump(), least, most));
--- a/src/assigner/flight_record_file.h
+++ b/src/assigner/flight_record_file.h
@@ -1,6 +1,6 @@
-// The file of the flight record: what an assigner decided and what it decided it from, for replay. Appends on the
-// disk's thread. After the first byte that is lost nothing more is written until the next start: a record with a
-// hole would replay as a difference.
+// The file of the flight record: what an assigner decided and what it decided it from, for replay. Appends on
+// the disk's thread. After the first byte that is lost nothing more is written until the next start: a record
+// with a hole would replay as a difference.
 #pragma once
 
 #include <atomic>
@@ -14,9 +14,9 @@
 
 class FlightRecordFile {
  public:
-  // An empty `path`: no record is kept. Opens the file and cuts half a record off its end, which a kill may have
-  // left: what is appended behind it could not be read. Throws std::runtime_error if it can't. `disk` and `log`
-  // outlive this object or at least its last append; `disk` must end before it.
+  // An empty `path`: no record is kept. Opens the file and cuts half a record off its end, which a kill may
+  // have left: what is appended behind it could not be read. Throws std::runtime_error if it can't. `disk`
+  // and `log` outlive this object or at least its last append; `disk` must end before it.
   FlightRecordFile(net::Reactor& reactor, base::Worker& disk, log::Log& log, const std::string& path);
 
   void append(std::string bytes);
--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -20,16 +20,16 @@
 #include "assigner/startup_configuration.h"
 #include "assigner/state_folder.h"
 #include "base/worker.h"
+#include "health_check/http_outcome.h"
 #include "http/numbers.h"
 #include "http/server.h"
 #include "net/connection.h"
-#include "probe/outcome.h"
 
 namespace beamshunt::assigner {
 namespace {
 
 // Bytes queued for the disk. What is beyond it is lost, and logged: a stuck disk must not fill the memory.
-constexpr std::size_t kMaxDiskBytes = 64 * 1048576;
+constexpr std::size_t kMaxDiskBytes = std::size_t{64} << 20;
 // ms to connect to the discovery service and to health-checked endpoints: far above any round trip in a site.
 constexpr Ms kConnectTimeout = 1000;
 // ms for which an unused HTTP connection is kept for the next request.
@@ -239,7 +239,7 @@
   Ms sent = reactor_.now();
   client_.ask(effect.address, http::request("GET", "/probe"), settings_.probe_timeout,
               [this, sent, endpoint = effect.endpoint](http::Client::Answer&& answer) {
-                core_.probe_answered(endpoint, probe::outcome_of(answer), reactor_.now() - sent,
+                core_.probe_answered(endpoint, health_check::outcome_of(answer), reactor_.now() - sent,
                                      http::parse_numbers(answer.message.body), reactor_.now());
                 schedule_run();
               });
--- a/src/assigner/service.h
+++ b/src/assigner/service.h
@@ -10,9 +10,10 @@
 
 namespace beamshunt::assigner {
 
-// Runs until SIGTERM or SIGINT, from the last good configuration version or from the files. `validator` checks
-// streamed versions; null: their form alone. `between` is for audits. Throws std::exception if it can't start: no
-// settings that are sound, a port in use, a state folder that another process holds or that can't be written.
+// Runs until SIGTERM or SIGINT, from the last good configuration version or from the files. `validator`
+// checks streamed versions; null: their form alone. `between` is for audits. Throws std::exception if it
+// can't start: no settings that are sound, a port in use, a state folder that another process holds or that
+// can't be written.
 void serve(const std::vector<config::Source>& files, ConfigurationValidator validator = nullptr,
            const std::function<Between(const AssignerSettings&)>& between = nullptr);
 
--- a/src/assigner/setting_effects.h
+++ b/src/assigner/setting_effects.h
@@ -1,5 +1,5 @@
-// How a change of each setting takes effect, and which settings each type of streamed resource may give. Tables
-// only. A setting that is added to the schema needs a row here; a test goes through the whole schema.
+// How a change of each setting takes effect, and which settings each type of streamed resource may give.
+// Tables only. A setting that is added to the schema needs a row here; a test goes through the whole schema.
 #pragma once
 
 #include <string_view>
@@ -13,8 +13,8 @@
   file_only,     // what the process stands on: only its files give it, at its start
 };
 
-// Of a field of #Assigner by its path, such as "site.channel.delay". Throws std::logic_error for a path that is
-// no field.
+// Of a field of #Assigner by its path, such as "site.channel.delay". Throws std::logic_error for a path that
+// is no field.
 [[nodiscard]] TakesEffect takes_effect(std::string_view path);
 
 // A type of streamed resource.
--- a/src/assigner/settings_error.h
+++ b/src/assigner/settings_error.h
@@ -7,8 +7,8 @@
 
 namespace beamshunt::assigner {
 
-// A setting that is rejected. what() is "file:line:column: path: reason", as config::ConfigError has it, so that
-// whoever prints the one prints the other.
+// A setting that is rejected. what() is "file:line:column: path: reason", as config::ConfigError has it, so
+// that whoever prints the one prints the other.
 class SettingsError : public config::ConfigError {
  public:
   // `path` such as "site.classes[0].name"; `value` as given, empty for a structure or a list; `expected` says
--- a/src/assigner/settings_schema.cpp
+++ b/src/assigner/settings_schema.cpp
@@ -1,5 +1,5 @@
-// The schema of an assigner's settings: every field with its type, bounds and default. A default suits a small
-// site; every bound keeps out a value that someone could type and that would do harm.
+// The schema of an assigner's settings: every field with its type, bounds and default. A default suits a
+// small site; every bound keeps out a value that someone could type and that would do harm.
 #include "assigner/assigner_settings.h"
 
 namespace beamshunt::assigner {
--- a/src/assigner/startup_configuration.cpp
+++ b/src/assigner/startup_configuration.cpp
@@ -26,8 +26,8 @@
   }
 }
 
-// Where versions may be. Files that are not complete by themselves may be so with a version; where the state is
-// they must say themselves. Nothing: these files name no control service.
+// Where versions may be. Files that are not complete by themselves may be so with a version; where the state
+// is they must say themselves. Nothing: these files name no control service.
 std::optional<std::string> state_folder_of(const FileSettings& alone,
                                            const std::vector<config::Source>& files) {
   if (!alone.settings) return config::given_text(files, "state");
--- a/src/assigner/startup_configuration.h
+++ b/src/assigner/startup_configuration.h
@@ -20,8 +20,8 @@
   std::vector<std::string> notes;  // what on disk could not be used, and why
 };
 
-// Throws config::ConfigError with all reasons if nothing can be run, std::runtime_error if the versions on disk
-// are damaged.
+// Throws config::ConfigError with all reasons if nothing can be run, std::runtime_error if the versions on
+// disk are damaged.
 StartupConfiguration load_startup_configuration(const std::vector<config::Source>& files);
 
 // The folder of the configuration versions inside the state folder.
--- a/src/assigner/state_folder.h
+++ b/src/assigner/state_folder.h
@@ -1,5 +1,5 @@
-// The folder that outlives a restart: its lock, the epoch (how often an assigner started on it) and the cached
-// endpoint list. Damaged files are said and left aside, never guessed at.
+// The folder that outlives a restart: its lock, the epoch (how often an assigner started on it) and the
+// cached endpoint list. Damaged files are said and left aside, never guessed at.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +21,8 @@
   // Throws std::runtime_error if another process holds the folder, and as lock_state().
   explicit StateFolder(const std::string& path);
 
-  // One more than at the last start, and written down. A damaged file is not guessed at: the epoch then goes on
-  // from the wall clock, which is ahead of any count of starts, so that proxies never see it go back.
+  // One more than at the last start, and written down. A damaged file is not guessed at: the epoch then goes
+  // on from the wall clock, which is ahead of any count of starts, so that proxies never see it go back.
   std::uint64_t next_epoch(log::Log& log);
 
   // The list as last saved, else as saved before that; nothing if neither can be read.
--- a/src/assigner/streamed_configuration.cpp
+++ b/src/assigner/streamed_configuration.cpp
@@ -20,8 +20,8 @@
   }
 }
 
-// Appends a reason for each field of the resource that its type does not give. Throws config::ConfigError if the
-// text can't be read.
+// Appends a reason for each field of the resource that its type does not give. Throws config::ConfigError if
+// the text can't be read.
 void check_fields(const ResourceType& type, const config::Source& source, std::vector<Reason>& reasons) {
   for (const auto& [path, at] : config::given_paths(source)) {
     if (type.may_give(path)) continue;
--- a/src/assigner/streamed_configuration.h
+++ b/src/assigner/streamed_configuration.h
@@ -17,8 +17,8 @@
   std::vector<configstream::Reason> reasons;
 };
 
-// The settings of the files with the version's resources in their place. Rejected with the rule "form" where a
-// resource can't be read or gives what its type may not, with "bounds" where the whole breaks the schema.
+// The settings of the files with the version's resources in their place. Rejected with the rule "form" where
+// a resource can't be read or gives what its type may not, with "bounds" where the whole breaks the schema.
 ComposedSettings compose(const std::vector<config::Source>& files, const configstream::Resources& resources);
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/trial_monitor.h
+++ b/src/assigner/trial_monitor.h
@@ -1,5 +1,5 @@
-// Samples the assigner's figures: between trials to know how things stood before, during one to judge the version
-// on trial. Pure; configuration_manager acts on the outcome.
+// Samples the assigner's figures: between trials to know how things stood before, during one to judge the
+// version on trial. Pure; configuration_manager acts on the outcome.
 #pragma once
 
 #include <optional>
--- a/src/assigner/version_trial.h
+++ b/src/assigner/version_trial.h
@@ -29,7 +29,8 @@
   enum class State { running, passed, failed };
 
   // `service_before`: the service level before the version was applied, if it was known. Without it only the
-  // rules are looked at. `usage_before`: a rule that was at its limit already is not held against the version.
+  // rules are looked at. `usage_before`: a rule that was at its limit already is not held against the
+  // version.
   VersionTrial(Limits limits, std::optional<double> service_before, const RuleUsage& usage_before, Ms now);
 
   // Takes a sample and says how the trial stands. `now` is monotonic. Not called again once it has ended.
--- a/tests/assigner/parts_test.cpp
+++ b/tests/assigner/parts_test.cpp
@@ -1,4 +1,5 @@
-// The parts of an assigner by themselves: settings, the endpoint catalog and its codecs, the intake of reports.
+// The parts of an assigner by themselves: settings, the endpoint catalog and its codecs, the intake of
+// reports.
 #include <gtest/gtest.h>
 
 #include <tuple>
@@ -30,8 +31,8 @@
   EXPECT_EQ(refused("site: reports: period: 250ms"), "taken");
 }
 
-// Someone types a value that can't be right. The assigner must not start with it, and the message must lead to the
-// line, the column and the setting.
+// Someone types a value that can't be right. The assigner must not start with it, and the message must lead
+// to the line, the column and the setting.
 TEST(SiteSettings, WhatCannotBeIsRefusedWithItsPlace) {
   EXPECT_NE(refused("site: channel: messages: -1").find("more.cue:1:26: site.channel.messages"),
             std::string::npos);
@@ -61,8 +62,8 @@
   EXPECT_NE(load(kSite, "instance: 7", "instance: 0").find("an instance is given twice"), std::string::npos);
 }
 
-// The wall clock steps while an endpoint runs. Computed anew, its start would move, and the policy would take that
-// for a restart and send it less.
+// The wall clock steps while an endpoint runs. Computed anew, its start would move, and the policy would take
+// that for a restart and send it less.
 TEST(EndpointCatalog, AStartKeepsItsInstantWhateverTheClocksDo) {
   EndpointCatalog catalog;
   EndpointListEntry entry{.id = 5, .start_wall_ms = 900000, .address = {1, 1}};
@@ -75,8 +76,8 @@
             Time(Duration(7000)));  // from the future: just now
 }
 
-// The cached list is half written or damaged on disk. The assigner must notice and not start from endpoints that
-// are not there.
+// The cached list is half written or damaged on disk. The assigner must notice and not start from endpoints
+// that are not there.
 TEST(EndpointCatalog, BytesKeepTheListAndDamageIsNoticed) {
   EndpointCatalog catalog;
   catalog.apply(
@@ -92,8 +93,8 @@
   }
 }
 
-// An endpoint is missing from a complete list. It gets no more requests, but a drain may still have to name its
-// address.
+// An endpoint is missing from a complete list. It gets no more requests, but a drain may still have to name
+// its address.
 TEST(EndpointCatalog, ATotalListEndsWhatItDoesNotName) {
   EndpointCatalog catalog;
   catalog.apply({true, 1, {{.id = 5, .address = {7, 8}}, {.id = 6, .address = {7, 9}}}});
@@ -102,6 +103,40 @@
   EXPECT_TRUE(catalog.find(5));  // still known by address: a drain may have to name it
 }
 
+// Who handles a bad setting, list or file by program needs its parts, not only the text of the message.
+TEST(TypedErrors, NameTheFieldTheValueAndWhatWasExpected) {
+  std::string text = kSite;
+  text.replace(text.find("home: \"north\""), 13, "home: \"west\"");
+  try {
+    load_assigner_settings({{"site.cue", text}});
+    FAIL() << "taken";
+  } catch (const SettingsError& error) {
+    EXPECT_EQ(error.path(), "home");
+    EXPECT_EQ(error.value(), "west");
+    EXPECT_EQ(error.expected(), "\"west\" is no locality");
+    EXPECT_EQ(*error.at().file, "site.cue");
+  }
+  try {
+    std::ignore = parse_endpoint_list(
+        R"({"kind":"total","version":1,"entries":[{"id":1,"locality":"north","cell":0,"size":0}]})",
+        {"north"});
+    FAIL() << "taken";
+  } catch (const EndpointListError& error) {
+    EXPECT_EQ(error.field(), "entries[0].size");
+    EXPECT_EQ(error.value(), "0");
+    EXPECT_STREQ(error.what(), "entries[0]: size is 0, not a number from 1e-09 to 1000000000.0");
+  }
+  EndpointCatalog catalog;
+  std::string bytes = encode_cached_list(catalog);
+  bytes.pop_back();
+  try {
+    std::ignore = decode_cached_list(bytes);
+    FAIL() << "taken";
+  } catch (const CachedListError& error) {
+    EXPECT_STREQ(error.what(), "torn or damaged");
+  }
+}
+
 TEST(Intake, SumsByPairAndGivesTheLongestWaitingFirstAtItsPace) {
   Intake intake(10);
   intake.release(0);
--- a/tests/assigner/streamed_configuration_test.cpp
+++ b/tests/assigner/streamed_configuration_test.cpp
@@ -35,8 +35,8 @@
   EXPECT_EQ(c.settings->policy.localities.size(), 1u) << "a list is one value";
 }
 
-// A resource gives a field that is not its type's, or text that can't be read. The version is rejected, and the
-// reason names the resource, the line and the field.
+// A resource gives a field that is not its type's, or text that can't be read. The version is rejected, and
+// the reason names the resource, the line and the field.
 TEST(StreamedConfiguration, WhatATypeDoesNotGiveIsRefusedWithItsPlace) {
   EXPECT_EQ(first(with("limits", "\n  instance: 3")),
             "instance | limits/site@7:2:3: only the assigner's own file gives this");
@@ -194,8 +194,8 @@
   }
 };
 
-// A version changes a guarantee, so a new controller takes over proxy by proxy. A proxy that had no endpoints in
-// between would fail its requests.
+// A version changes a guarantee, so a new controller takes over proxy by proxy. A proxy that had no endpoints
+// in between would fail its requests.
 TEST_F(Takeover, NoProxyIsEverWithoutLinesAndAllAreTakenOver) {
   begin(6);
   rig.core.reconfigure(changed("site: guarantees: warm_up: 5s"), 2, 99, rig.now);
@@ -233,8 +233,8 @@
   EXPECT_TRUE(record::replay(rig.record).same());
 }
 
-// Version after version starts a new controller, which knows nothing of the messages that the former one sent. Both
-// together must stay within the limits of each proxy and of the channel.
+// Version after version starts a new controller, which knows nothing of the messages that the former one
+// sent. Both together must stay within the limits of each proxy and of the channel.
 TEST_F(Takeover, MessagesAndLinesOfBothModulesTogetherKeepTheLimits) {
   begin(6);
   std::string few = "site: channel: {messages: 6, span: 3s}";
@@ -263,7 +263,8 @@
   EXPECT_FALSE(rig.core.taking_over());
 }
 
-// While the handover is under way a proxy leaves, another joins and one returns. Each must be taken over once.
+// While the handover is under way a proxy leaves, another joins and one returns. Each must be taken over
+// once.
 TEST_F(Takeover, ProxiesThatComeGoOrReturnMeanwhileFindTheirPlace) {
   begin(8);
   std::string slow = "site: {proxies: 12, channel: {lines_per_s: 60/s, most_waiting_lines: 60}}";
@@ -293,8 +294,8 @@
   EXPECT_EQ(welcomes[1].epoch, welcomes[0].epoch);
 }
 
-// Proxies and endpoint lists go by the positions of localities and classes. A version that moves one while they are
-// connected would make them take one for another: it is rejected with its reason.
+// Proxies and endpoint lists go by the positions of localities and classes. A version that moves one while
+// they are connected would make them take one for another: it is rejected with its reason.
 TEST_F(Takeover, WhatJoinedProxiesAndListsGoByCannotChange) {
   begin(2);
   Fleet fleet = rig.core.fleet(rig.now);
--- a/tests/assigner/version_trial_test.cpp
+++ b/tests/assigner/version_trial_test.cpp
@@ -18,8 +18,8 @@
 };
 constexpr VersionTrial::Limits kLimits{.duration = 5000, .max_service_drop = 0.1, .min_requests = 100};
 
-// A quiet site answers few requests. One slow answer among them must not look like a fall of the service, so the
-// window grows until it holds enough; a request of a higher priority weight counts for more.
+// A quiet site answers few requests. One slow answer among them must not look like a fall of the service, so
+// the window grows until it holds enough; a request of a higher priority weight counts for more.
 TEST(ServiceLevelWindow, IsOfTheLastRequestsByTheirWorthAndUnknownWhileTheyAreFew) {
   Fleet fleet;
   ServiceLevelWindow window(100);
@@ -44,8 +44,8 @@
   EXPECT_TRUE(trial.evidence().empty());
 }
 
-// A version halves what is answered in time. One sample with such a fall may be a pause of the network; two in a
-// row end the trial, and the evidence holds the figures.
+// A version halves what is answered in time. One sample with such a fall may be a pause of the network; two
+// in a row end the trial, and the evidence holds the figures.
 TEST(VersionTrial, ServiceThatFallsIsEvidenceOnceItIsSeenTwice) {
   Fleet fleet;
   VersionTrial trial(kLimits, 0.98, {}, 1000);
@@ -66,8 +66,8 @@
     EXPECT_EQ(trial.evaluate(fleet.serve(100, 10), now), VersionTrial::State::running);
 }
 
-// Under the version rule 3 reaches its limit, which it had not before: the trial fails. Rule 5 was past its limit
-// before the version came and is not held against it.
+// Under the version rule 3 reaches its limit, which it had not before: the trial fails. Rule 5 was past its
+// limit before the version came and is not held against it.
 TEST(VersionTrial, ARuleThatComesToItsLimitIsEvidenceUnlessItWasThereBefore) {
   Fleet fleet;
   VersionTrial trial(kLimits, std::nullopt, {0, 0, 0.2, 0, 1.3}, 1000);
