--- a/tests/stored_data/stored_data_test.cpp
+++ b/tests/stored_data/stored_data_test.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "assigner/list_feed.h"
+#include "assigner/cached_list_codec.h"
 #include "base/archive.h"
 #include "base/file.h"
 #include "config_stream/version_store.h"
@@ -139,24 +139,24 @@
 TEST(StoredData, TheCachedEndpointListsAreRead) {
   for (const char* name : {"list", "list.before"}) {
     std::string bytes = stored(name);
-    assigner::EndpointBook book = assigner::EndpointBook::from_bytes(bytes);
-    EXPECT_EQ(book.version(), 16u) << name;
-    std::vector<assigner::ListEntry> entries = book.all();
+    assigner::EndpointCatalog catalog = assigner::decode_cached_list(bytes);
+    EXPECT_EQ(catalog.version(), 16u) << name;
+    std::vector<assigner::EndpointListEntry> entries = catalog.entries();
     ASSERT_EQ(entries.size(), 9u) << name;
     const std::uint32_t ids[] = {1000, 8919, 16838, 24757, 32676, 40595, 48514, 56433, 64352};
     for (std::size_t k = 0; k < entries.size(); ++k) {
       EXPECT_EQ(entries[k].id, ids[k]) << name;
       EXPECT_EQ(entries[k].locality, k / 3) << name;
       EXPECT_EQ(entries[k].cell, k / 3) << name;
-      EXPECT_EQ(entries[k].size, 2.0) << name;
+      EXPECT_EQ(entries[k].capacity, 2.0) << name;
       EXPECT_EQ(entries[k].state, EndpointState::available) << name;
       EXPECT_EQ(entries[k].address.port, 8000) << name;
     }
     EXPECT_EQ(entries[0].address.ip, 0x7f1c0201u) << name;
-    EXPECT_EQ(entries[0].started_wall_ms, 0.0) << name;
+    EXPECT_EQ(entries[0].start_wall_ms, 0.0) << name;
     EXPECT_EQ(entries[8].address.ip, 0x7f1e0209u) << name;
-    EXPECT_NEAR(entries[8].started_wall_ms, 1796273199587.174, 0.001) << name;
-    EXPECT_TRUE(book.to_bytes() == bytes) << name << " is written as before";
+    EXPECT_NEAR(entries[8].start_wall_ms, 1796273199587.174, 0.001) << name;
+    EXPECT_TRUE(assigner::encode_cached_list(catalog) == bytes) << name << " is written as before";
   }
 }
 
