--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -10,7 +10,7 @@
   try {
     parser.feed(bytes.substr(0, cut), frames);
     parser.feed(bytes.substr(cut), frames);
-  } catch (const Malformed&) {
+  } catch (const ProtocolError&) {
   }
   for (const Frame& frame : frames) {  // what was read is written and read again as the same
     FrameParser again;
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using base::raw;
-using channel::kSilentBeats;
+using channel::kHeartbeatsUntilDead;
 using channel::RefuseCode;
 
 constexpr Ms kRedialPeer = 500;      // between dials of one peer
@@ -67,7 +67,7 @@
   if (stream.is == Stream::Is::opening) {
     stream.due = stream.opened + site_.hello_within;
   } else {
-    stream.due = std::min(stream.heard + kSilentBeats * site_.heartbeat,
+    stream.due = std::min(stream.heard + kHeartbeatsUntilDead * site_.heartbeat,
                           std::max(stream.sent, stream.heard) + site_.heartbeat);
     if (!stream.unconfirmed.empty())
       stream.due = std::min(stream.due, stream.unconfirmed.front().leaves + site_.confirm_within);
@@ -110,7 +110,7 @@
       handle_frame(s, *frame, now);
       if (s = streams_.find(id); s == streams_.end()) return;
     }
-  } catch (const channel::Malformed& fault) {
+  } catch (const channel::ProtocolError& fault) {
     return refuse(s, fault.code, fmt::format("at byte {}: {}", fault.offset, fault.what()), 0, now);
   }
   schedule(s);
@@ -176,15 +176,15 @@
     return end_stream(s, "refused by the peer: " + no->reason, now);
   }
   if (stream.is == Stream::Is::proxy) {
-    if (auto* applied = std::get_if<channel::Applied>(&frame)) {
+    if (auto* applied = std::get_if<channel::Acknowledgement>(&frame)) {
       if (applied->sequence > stream.sequence)
         return refuse(
             s, RefuseCode::unexpected,
             fmt::format("message {} is confirmed, {} were sent", applied->sequence, stream.sequence), 0, now);
       return confirm(stream, applied->sequence, now);
     }
-    if (auto* report = std::get_if<channel::Report>(&frame)) {
-      for (const channel::Usage& u : report->usage)
+    if (auto* report = std::get_if<channel::LoadReportMessage>(&frame)) {
+      for (const channel::DemandReportEntry& u : report->demand)
         if (u.request_class >= site_.policy.classes.size())
           return refuse(
               s, RefuseCode::unexpected,
@@ -220,17 +220,17 @@
     // is a restart if the old stream is silent, and else a second proxy by the same name, which must not
     // push the first one out: the two would do so to each other for ever.
     bool same_run = old->second.incarnation == hello.incarnation && hello.attempt > old->second.attempt;
-    if (!same_run && now - old->second.heard <= kSilentBeats * site_.heartbeat)
+    if (!same_run && now - old->second.heard <= kHeartbeatsUntilDead * site_.heartbeat)
       return refuse(
           s, RefuseCode::id_in_use,
           fmt::format("proxy {} has a live stream from {}", hello.proxy, net::to_string(old->second.address)),
-          kSilentBeats * site_.heartbeat, now);
+          kHeartbeatsUntilDead * site_.heartbeat, now);
     refuse(old, RefuseCode::replaced, fmt::format("proxy {} has a newer stream", hello.proxy), 0, now);
   }
   stream.is = Stream::Is::proxy;
   stream.parser.allow(site_.most_frame);
   stream.id = hello.proxy, stream.incarnation = hello.incarnation, stream.attempt = hello.attempt;
-  stream.usual = hello.usual_rate;
+  stream.usual = hello.expected_rate;
   stream.owner = modules_.rbegin()->first;
   proxies_[proxy] = s->first;
   log(log::Level::info, "proxy_joined",
@@ -242,7 +242,7 @@
              now);
   modules_.rbegin()->second.tables.register_proxy(proxy);
   modules_.rbegin()->second.pending.push_back(
-      ProxyRegistered{proxy, Locality(*locality), hello.usual_rate, hello.only_standing});
+      ProxyRegistered{proxy, Locality(*locality), hello.expected_rate, hello.only_static_tables});
 }
 
 void Core::open_peer(Streams::iterator s, const channel::PeerHello& hello, Ms now) {
@@ -260,19 +260,19 @@
   schedule(s);
 }
 
-void Core::take_report(Stream& s, const channel::Report& report, Ms now) {
+void Core::take_report(Stream& s, const channel::LoadReportMessage& report, Ms now) {
   if (report.sequence <= s.reported) return;  // counted already
   s.reported = report.sequence;
   ++counters_.reports;
-  counters_.report_lines += report.heard.size() + report.usage.size();
+  counters_.report_lines += report.endpoints.size() + report.demand.size();
   Locality from{site_.locality_of.find(s.address.ip).value_or(0)};
-  for (const channel::Heard& line : report.heard) {
-    if (book_.find(line.endpoint)) intake_.heard(from, line, now - report.span_ms, now);
+  for (const channel::EndpointReportEntry& line : report.endpoints) {
+    if (book_.find(line.endpoint)) intake_.heard(from, line, now - report.interval_ms, now);
     else ++counters_.unknown_endpoints;
   }
   note_report(from, report, now);
-  for (const channel::Usage& line : report.usage)
-    intake_.used(ProxyId(s.id), line, now - report.span_ms, now);
+  for (const channel::DemandReportEntry& line : report.demand)
+    intake_.used(ProxyId(s.id), line, now - report.interval_ms, now);
 }
 
 void Core::confirm(Stream& s, std::uint64_t sequence, Ms now) {
@@ -330,8 +330,8 @@
 
 // ---- The module's orders ----
 
-channel::LineOrder Core::line_of(std::uint32_t table, std::uint32_t endpoint, double weight) const {
-  channel::LineOrder line{.table = table, .endpoint = endpoint, .weight = weight};
+channel::WeightUpdate Core::line_of(std::uint32_t table, std::uint32_t endpoint, double weight) const {
+  channel::WeightUpdate line{.table = table, .endpoint = endpoint, .weight = weight};
   if (const ListEntry* e = book_.find(endpoint); e && weight > 0) {
     line.locality = static_cast<std::uint16_t>(e->locality);
     line.cell = e->cell;
@@ -347,22 +347,23 @@
   struct OnWire {
     const Core& core;
     std::uint32_t module;
-    using Order = channel::Order;
+    using Order = channel::Update;
     Order operator()(const assignments::TableAssigned& x) {
-      return channel::BindOrder{x.classes, on_wire(module, x.table)};
+      return channel::AssignTableUpdate{x.classes, on_wire(module, x.table)};
     }
     Order operator()(const assignments::WeightChanged& x) {
       return core.line_of(on_wire(module, x.table), raw(x.endpoint), x.weight);
     }
     Order operator()(const assignments::TableCleared& x) {
-      return channel::ResetOrder{on_wire(module, x.table)};
+      return channel::ClearTableUpdate{on_wire(module, x.table)};
     }
     Order operator()(const assignments::LimitChanged& x) {
-      return channel::AdmitOrder{x.all_tables ? channel::kEveryTable : on_wire(module, x.table), x.classes,
-                                 x.limit.limit, static_cast<std::uint8_t>(x.limit.retry_mode)};
+      return channel::AdmissionLimitUpdate{x.all_tables ? channel::kAllTables : on_wire(module, x.table),
+                                           x.classes, x.limit.limit,
+                                           static_cast<std::uint8_t>(x.limit.retry_mode)};
     }
     Order operator()(const assignments::EndpointExcluded& x) {
-      return channel::WithdrawOrder{raw(x.endpoint), x.excluded};
+      return channel::ExcludeEndpointUpdate{raw(x.endpoint), x.excluded};
     }
   };
   open_[proxy].push_back(std::visit(OnWire{*this, module}, order));
@@ -411,7 +412,7 @@
         core.effects_.push_back(ProbeServer{x.endpoint, e->address});
     }
     void operator()(const SendPeerMessage& x) {
-      if (x.payload.size() > channel::kMostNoteBytes) return;
+      if (x.payload.size() > channel::kMaxPeerNoteBytes) return;
       for (auto& [instance, stream] : core.peers_)
         if (x.to_all_peers || instance == x.peer)
           core.send_frame(core.streams_.find(stream),
@@ -431,7 +432,7 @@
     void operator()(const AckRequest& x) {
       if (x.all_proxies)
         for (auto& [proxy, stream] : core.proxies_) core.open_[proxy];
-      for (auto& [proxy, orders] : core.open_) orders.push_back(channel::BarrierOrder{x.sequence_number});
+      for (auto& [proxy, orders] : core.open_) orders.push_back(channel::AckRequestUpdate{x.sequence_number});
     }
     void operator()(const LogMessage& x) {
       core.ejections_ += x.text.starts_with("eject ");
@@ -455,13 +456,13 @@
     if (between_) between_(now, raw(proxy), orders, book_);
     if (orders.empty()) continue;
     Stream& s = streams_.at(joined->second);
-    channel::Orders message{.sequence = ++s.sequence, .decided_at_ms = now};
+    channel::UpdateMessage message{.sequence = ++s.sequence, .decided_at_ms = now};
     Sent sent{.sequence = s.sequence, .decided = now, .module = module};
-    for (const channel::Order& order : orders) note_order(order, sent);
+    for (const channel::Update& order : orders) note_order(order, sent);
     sent.lines = message.lines = site_.policy.message_overhead_lines + static_cast<double>(orders.size());
-    message.orders = std::move(orders);
+    message.updates = std::move(orders);
     ++counters_.messages;
-    counters_.lines += message.orders.size();
+    counters_.lines += message.updates.size();
     channel_free_ = std::max(channel_free_, now) + sent.lines / site_.policy.channel_lines_per_second * 1000;
     sent.leaves = channel_free_;
     s.messages.push_back(now);
@@ -497,7 +498,8 @@
     Stream& stream = s->second;
     if (stream.is == Stream::Is::opening && now >= stream.opened + site_.hello_within) {
       refuse(s, RefuseCode::silent, "no hello in time", 0, now);
-    } else if (stream.is != Stream::Is::opening && now >= stream.heard + kSilentBeats * site_.heartbeat) {
+    } else if (stream.is != Stream::Is::opening &&
+               now >= stream.heard + kHeartbeatsUntilDead * site_.heartbeat) {
       refuse(s, RefuseCode::silent, fmt::format("no byte for {} ms", now - stream.heard), 0, now);
     } else if (!stream.unconfirmed.empty() &&
                now >= stream.unconfirmed.front().leaves + site_.confirm_within) {
@@ -679,26 +681,27 @@
 
 // ---- Figures ----
 
-void Core::note_report(Locality from, const channel::Report& report, Ms now) {
-  for (const channel::Usage& u : report.usage) {
+void Core::note_report(Locality from, const channel::LoadReportMessage& report, Ms now) {
+  for (const channel::DemandReportEntry& u : report.demand) {
     ServiceSum& sum = service_[{raw(from), u.request_class}];
-    sum.came += u.came, sum.unanswered += u.unanswered, sum.in_time += u.in_time;
+    sum.came += u.arrivals, sum.unanswered += u.failed, sum.in_time += u.within_objective;
   }
-  for (const channel::Heard& h : report.heard) {
+  for (const channel::EndpointReportEntry& h : report.endpoints) {
     if (!book_.find(h.endpoint)) continue;
     // Tries fade out over a second: a rate whatever the proxies' periods and numbers.
     Heard& heard = heard_[h.endpoint];
     double keep = std::exp(-std::max(0.0, now - heard.at) / kRateFade);
-    heard.rate = heard.rate * keep + h.tries / (kRateFade / 1000);
+    heard.rate = heard.rate * keep + h.attempts / (kRateFade / 1000);
     heard.at = now;
     for (auto& [name, value] : h.load)
       if (name == "utilization") heard.busy = value;
   }
 }
 
-void Core::note_order(const channel::Order& order, Sent& sent) const {
-  if (auto* barrier = std::get_if<channel::BarrierOrder>(&order)) sent.serials.push_back(barrier->serial);
-  if (auto* line = std::get_if<channel::LineOrder>(&order))
+void Core::note_order(const channel::Update& order, Sent& sent) const {
+  if (auto* barrier = std::get_if<channel::AckRequestUpdate>(&order))
+    sent.serials.push_back(barrier->sequence_number);
+  if (auto* line = std::get_if<channel::WeightUpdate>(&order))
     sent.removes |= line->weight <= 0 && closed_.contains(line->endpoint);
 }
 
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -64,7 +64,7 @@
 };
 
 // What may change a message between the module and the wire: audits prove themselves by it. Never in service.
-using Between = std::function<void(Ms now, std::uint32_t proxy, std::vector<channel::Order>& orders,
+using Between = std::function<void(Ms now, std::uint32_t proxy, std::vector<channel::Update>& orders,
                                    const EndpointBook& book)>;
 
 // What is known of the fleet at an instant: what a change of the settings is judged against.
@@ -181,7 +181,7 @@
   void handle_frame(Streams::iterator s, const channel::Frame& frame, Ms now);
   void open_proxy(Streams::iterator s, const channel::Hello& hello, Ms now);
   void open_peer(Streams::iterator s, const channel::PeerHello& hello, Ms now);
-  void take_report(Stream& s, const channel::Report& report, Ms now);
+  void take_report(Stream& s, const channel::LoadReportMessage& report, Ms now);
   void confirm(Stream& s, std::uint64_t sequence, Ms now);
   void send_frame(Streams::iterator s, const channel::Frame& frame, Ms now);
   void refuse(Streams::iterator s, channel::RefuseCode code, const std::string& reason, Ms retry_after,
@@ -197,13 +197,13 @@
   void retire();
   void act(Ms now, std::uint32_t number, Module& module, const std::vector<Action>& actions);
   void write(std::uint32_t module, ProxyId proxy, const assignments::Update& order);
-  channel::LineOrder line_of(std::uint32_t table, std::uint32_t endpoint, double weight) const;
+  channel::WeightUpdate line_of(std::uint32_t table, std::uint32_t endpoint, double weight) const;
   void take_over(std::uint32_t number, ProxyId proxy);
   void count_cuts(const Module& module, const SetAdmissionLimit& admit);
   void send_messages(Ms now, std::uint32_t module);
   void release_messages(Ms now);
-  void note_report(Locality from, const channel::Report& report, Ms now);
-  void note_order(const channel::Order& order, Sent& sent) const;
+  void note_report(Locality from, const channel::LoadReportMessage& report, Ms now);
+  void note_order(const channel::Update& order, Sent& sent) const;
   double cold_used(Ms now) const;
   double drain_used(Ms now) const;
   void log(log::Level level, std::string event, log::Fields fields);
@@ -217,11 +217,11 @@
   Between between_;
   std::vector<Effect> effects_;
   Streams streams_;
-  std::set<std::pair<Ms, StreamId>> due_;                // streams by when they need a look
-  std::map<ProxyId, StreamId> proxies_;                  // joined ones
-  std::map<std::uint32_t, StreamId> peers_;              // open streams to them
-  std::map<std::uint32_t, Ms> dial_at_;                  // peers to dial, once their time has come
-  std::map<ProxyId, std::vector<channel::Order>> open_;  // this turn's messages
+  std::set<std::pair<Ms, StreamId>> due_;                 // streams by when they need a look
+  std::map<ProxyId, StreamId> proxies_;                   // joined ones
+  std::map<std::uint32_t, StreamId> peers_;               // open streams to them
+  std::map<std::uint32_t, Ms> dial_at_;                   // peers to dial, once their time has come
+  std::map<ProxyId, std::vector<channel::Update>> open_;  // this turn's messages
   std::deque<Waiting> waiting_;
   Ms channel_free_ = 0;
   Ms next_release_ = 0;
--- a/src/assigner/intake.cpp
+++ b/src/assigner/intake.cpp
@@ -12,17 +12,17 @@
   return found->second;
 }
 
-void Intake::heard(Locality from, const channel::Heard& line, Ms begun, Ms ended) {
+void Intake::heard(Locality from, const channel::EndpointReportEntry& line, Ms begun, Ms ended) {
   Sum& s = sum(PathKey{from, EndpointId(line.endpoint)}, begun, ended);
-  double good = line.tries - line.failed, before = s.tries - s.failed;
-  if (good > 0) s.latency = (s.latency * before + line.latency_ms * good) / (before + good);
-  s.tries += line.tries, s.failed += line.failed;
+  double good = line.attempts - line.failed, before = s.tries - s.failed;
+  if (good > 0) s.latency = (s.latency * before + line.mean_latency_ms * good) / (before + good);
+  s.tries += line.attempts, s.failed += line.failed;
   if (!line.load.empty()) s.load = LoadReport(line.load.begin(), line.load.end());
 }
 
-void Intake::used(ProxyId proxy, const channel::Usage& line, Ms begun, Ms ended) {
+void Intake::used(ProxyId proxy, const channel::DemandReportEntry& line, Ms begun, Ms ended) {
   Sum& s = sum(UseKey{proxy, ClassId(line.request_class)}, begun, ended);
-  s.tries += line.came, s.failed += line.unanswered;
+  s.tries += line.arrivals, s.failed += line.failed;
 }
 
 void Intake::forget(ProxyId proxy) {
--- a/src/assigner/intake.h
+++ b/src/assigner/intake.h
@@ -22,8 +22,8 @@
   explicit Intake(double lines_per_s) : lines_per_s_(lines_per_s) {}
 
   void pace(double lines_per_s) { lines_per_s_ = lines_per_s; }
-  void heard(Locality from, const channel::Heard& line, Ms begun, Ms ended);
-  void used(ProxyId proxy, const channel::Usage& line, Ms begun, Ms ended);
+  void heard(Locality from, const channel::EndpointReportEntry& line, Ms begun, Ms ended);
+  void used(ProxyId proxy, const channel::DemandReportEntry& line, Ms begun, Ms ended);
   void forget(ProxyId proxy);  // it left: what it reported of its own requests has no owner any more
   // What may go to the module now: the pace times the time since the last call, a second's worth at most.
   std::vector<Event> release(Ms now);
--- a/src/audit/sabotage.cpp
+++ b/src/audit/sabotage.cpp
@@ -9,22 +9,22 @@
 
 using assigner::EndpointBook;
 using base::Ms;
-using Orders = std::vector<channel::Order>;
+using Updates = std::vector<channel::Update>;
 
 constexpr Ms kEmptyAfter = 3000;      // since the first message: let the day begin
 constexpr double kColdWeight = 1000;  // times what was ordered
 constexpr double kQueueOver = 1.5;    // of the queue's limit, in each message
 
-void no_drains(Ms, std::uint32_t, Orders& orders, const EndpointBook&) {
-  std::erase_if(orders, [](const channel::Order& order) {
-    auto* line = std::get_if<channel::LineOrder>(&order);
-    return (line && line->weight <= 0) || std::get_if<channel::WithdrawOrder>(&order);
+void no_drains(Ms, std::uint32_t, Updates& orders, const EndpointBook&) {
+  std::erase_if(orders, [](const channel::Update& order) {
+    auto* line = std::get_if<channel::WeightUpdate>(&order);
+    return (line && line->weight <= 0) || std::get_if<channel::ExcludeEndpointUpdate>(&order);
   });
 }
 
-void always_again(Ms, std::uint32_t, Orders& orders, const EndpointBook&) {
-  for (channel::Order& order : orders)
-    if (auto* admit = std::get_if<channel::AdmitOrder>(&order)) admit->retry = 3;
+void always_again(Ms, std::uint32_t, Updates& orders, const EndpointBook&) {
+  for (channel::Update& order : orders)
+    if (auto* admit = std::get_if<channel::AdmissionLimitUpdate>(&order)) admit->retry_mode = 3;
 }
 
 }  // namespace
@@ -33,18 +33,18 @@
   if (name == "drain") return no_drains;
   if (name == "twice") return always_again;
   if (name == "cold") {
-    return [warm_up = site.policy.warm_up_time.count()](Ms now, std::uint32_t, Orders& orders,
+    return [warm_up = site.policy.warm_up_time.count()](Ms now, std::uint32_t, Updates& orders,
                                                         const EndpointBook& book) {
-      for (channel::Order& order : orders)
-        if (auto* line = std::get_if<channel::LineOrder>(&order))
+      for (channel::Update& order : orders)
+        if (auto* line = std::get_if<channel::WeightUpdate>(&order))
           if (auto start = book.started(line->endpoint); start && now - *start < warm_up)
             line->weight *= kColdWeight;
     };
   }
   if (name == "queue") {
     double lines = site.policy.max_queued_lines * kQueueOver;
-    return [lines](Ms, std::uint32_t, Orders& orders, const EndpointBook&) {
-      Orders once = orders;
+    return [lines](Ms, std::uint32_t, Updates& orders, const EndpointBook&) {
+      Updates once = orders;
       while (!once.empty() && static_cast<double>(orders.size()) < lines)
         orders.insert(orders.end(), once.begin(), once.end());
     };
@@ -54,15 +54,17 @@
       Ms first = -1;
       std::map<std::uint32_t, std::set<std::pair<std::uint32_t, std::uint32_t>>> given;
     };
-    return [s = std::make_shared<State>()](Ms now, std::uint32_t proxy, Orders& orders, const EndpointBook&) {
-      if (s->first < 0) s->first = now;
-      auto& given = s->given[proxy];
-      for (const channel::Order& order : orders)
-        if (auto* line = std::get_if<channel::LineOrder>(&order)) given.insert({line->table, line->endpoint});
-      if (now - s->first < kEmptyAfter) return;
-      for (auto& [table, endpoint] : given)
-        orders.push_back(channel::LineOrder{.table = table, .endpoint = endpoint});
-    };
+    return
+        [s = std::make_shared<State>()](Ms now, std::uint32_t proxy, Updates& orders, const EndpointBook&) {
+          if (s->first < 0) s->first = now;
+          auto& given = s->given[proxy];
+          for (const channel::Update& order : orders)
+            if (auto* line = std::get_if<channel::WeightUpdate>(&order))
+              given.insert({line->table, line->endpoint});
+          if (now - s->first < kEmptyAfter) return;
+          for (auto& [table, endpoint] : given)
+            orders.push_back(channel::WeightUpdate{.table = table, .endpoint = endpoint});
+        };
   }
   throw std::invalid_argument("sabotage is drain, twice, cold, queue or empty, not '" + std::string(name) +
                               "'");
--- a/src/channel/frames.cpp
+++ b/src/channel/frames.cpp
@@ -8,7 +8,7 @@
 // Found by argument-dependent lookup, hence not in the unnamed namespace.
 template <class A>
 void fields(A& a, Hello& x) {
-  a(x.magic, x.version, x.proxy, x.incarnation, x.attempt, x.locality, x.usual_rate, x.only_standing,
+  a(x.magic, x.version, x.proxy, x.incarnation, x.attempt, x.locality, x.expected_rate, x.only_static_tables,
     x.held_epoch, x.held_sequence);
 }
 template <class A>
@@ -16,48 +16,48 @@
   a(x.version, x.epoch, x.heartbeat_ms, x.report_period_ms);
 }
 template <class A>
-void fields(A& a, LineOrder& x) {
+void fields(A& a, WeightUpdate& x) {
   a(x.table, x.endpoint, x.weight, x.locality, x.cell, x.ip, x.port);
 }
 template <class A>
-void fields(A& a, ResetOrder& x) {
+void fields(A& a, ClearTableUpdate& x) {
   a(x.table);
 }
 template <class A>
-void fields(A& a, BindOrder& x) {
+void fields(A& a, AssignTableUpdate& x) {
   a(x.classes, x.table);
 }
 template <class A>
-void fields(A& a, WithdrawOrder& x) {
-  a(x.endpoint, x.withdrawn);
+void fields(A& a, ExcludeEndpointUpdate& x) {
+  a(x.endpoint, x.excluded);
 }
 template <class A>
-void fields(A& a, AdmitOrder& x) {
-  a(x.table, x.classes, x.level, x.retry);
+void fields(A& a, AdmissionLimitUpdate& x) {
+  a(x.table, x.classes, x.limit, x.retry_mode);
 }
 template <class A>
-void fields(A& a, BarrierOrder& x) {
-  a(x.serial);
+void fields(A& a, AckRequestUpdate& x) {
+  a(x.sequence_number);
 }
 template <class A>
-void fields(A& a, Orders& x) {
-  a(x.sequence, x.decided_at_ms, x.lines, x.orders);
+void fields(A& a, UpdateMessage& x) {
+  a(x.sequence, x.decided_at_ms, x.lines, x.updates);
 }
 template <class A>
-void fields(A& a, Applied& x) {
+void fields(A& a, Acknowledgement& x) {
   a(x.sequence);
 }
 template <class A>
-void fields(A& a, Heard& x) {
-  a(x.endpoint, x.tries, x.failed, x.latency_ms, x.load);
+void fields(A& a, EndpointReportEntry& x) {
+  a(x.endpoint, x.attempts, x.failed, x.mean_latency_ms, x.load);
 }
 template <class A>
-void fields(A& a, Usage& x) {
-  a(x.request_class, x.came, x.unanswered, x.in_time);
+void fields(A& a, DemandReportEntry& x) {
+  a(x.request_class, x.arrivals, x.failed, x.within_objective);
 }
 template <class A>
-void fields(A& a, Report& x) {
-  a(x.sequence, x.span_ms, x.heard, x.usage);
+void fields(A& a, LoadReportMessage& x) {
+  a(x.sequence, x.interval_ms, x.endpoints, x.demand);
 }
 template <class A>
 void fields(A& a, PeerHello& x) {
@@ -71,10 +71,11 @@
 namespace {
 
 // What the types allow and the protocol does not.
-constexpr double kMostSpanMs = 3600e3;  // of a report: a longer one tells nothing of now
+constexpr double kMaxReportIntervalMs = 3600e3;  // a report on a longer time tells nothing of now
+constexpr std::uint8_t kMaxRetryMode = 3;        // twice
 const char* fault(const Hello& x) {
   if (x.magic != kMagic) return "not this protocol: the magic number differs";
-  if (!(x.usual_rate >= 0) || std::isinf(x.usual_rate)) return "a usual rate below 0 or not finite";
+  if (!(x.expected_rate >= 0) || std::isinf(x.expected_rate)) return "a usual rate below 0 or not finite";
   return nullptr;
 }
 const char* fault(const PeerHello& x) {
@@ -84,30 +85,30 @@
 const char* fault(const Welcome& x) {
   return sane(x.heartbeat_ms) && sane(x.report_period_ms) ? nullptr : "a time below 0 or not finite";
 }
-const char* fault(const Orders& x) {
+const char* fault(const UpdateMessage& x) {
   if (!std::isfinite(x.decided_at_ms) || !sane(x.lines)) return "a time or count that is not finite";
-  for (const Order& order : x.orders) {
-    if (auto* line = std::get_if<LineOrder>(&order); line && !sane(line->weight))
+  for (const Update& update : x.updates) {
+    if (auto* weight = std::get_if<WeightUpdate>(&update); weight && !sane(weight->weight))
       return "a weight below 0 or not finite";
-    if (auto* admit = std::get_if<AdmitOrder>(&order)) {
-      if (!sane(admit->level)) return "a level below 0 or not finite";
-      if (admit->retry > 3) return "a retry mode over 3";
+    if (auto* limit = std::get_if<AdmissionLimitUpdate>(&update)) {
+      if (!sane(limit->limit)) return "a level below 0 or not finite";
+      if (limit->retry_mode > kMaxRetryMode) return "a retry mode over 3";
     }
   }
   return nullptr;
 }
-const char* fault(const Report& x) {
-  if (!(x.span_ms >= 0 && x.span_ms <= kMostSpanMs)) return "a span below 0 or over an hour";
-  for (const Heard& h : x.heard) {
-    if (h.failed > h.tries) return "more failed tries than tries";
-    if (!sane(h.latency_ms)) return "a latency below 0 or not finite";
-    for (auto& [name, value] : h.load)
+const char* fault(const LoadReportMessage& x) {
+  if (!(x.interval_ms >= 0 && x.interval_ms <= kMaxReportIntervalMs)) return "a span below 0 or over an hour";
+  for (const EndpointReportEntry& entry : x.endpoints) {
+    if (entry.failed > entry.attempts) return "more failed tries than tries";
+    if (!sane(entry.mean_latency_ms)) return "a latency below 0 or not finite";
+    for (auto& [name, value] : entry.load)
       if (!std::isfinite(value)) return "a load figure that is not finite";
   }
   return nullptr;
 }
 const char* fault(const PeerNote& x) {
-  return x.payload.size() > kMostNoteBytes ? "a note over 256 bytes" : nullptr;
+  return x.payload.size() > kMaxPeerNoteBytes ? "a note over 256 bytes" : nullptr;
 }
 template <typename T>
 const char* fault(const T&) {
@@ -124,7 +125,7 @@
   std::uint16_t version = 0;
   opening(magic, version);
   if (magic == kMagic && version != kVersion)
-    throw Malformed(
+    throw ProtocolError(
         RefuseCode::bad_version, at + 4,
         "protocol version " + std::to_string(version) + ", this side speaks " + std::to_string(kVersion));
 }
@@ -163,12 +164,12 @@
   std::uint8_t kind = 0;
   head(size, kind);
   if (size > most_)
-    throw Malformed(
+    throw ProtocolError(
         RefuseCode::bad_frame, offset,
         "a frame of " + std::to_string(size) + " bytes, " + std::to_string(most_) + " are allowed");
   if (kind == 0 || kind > kinds_)
-    throw Malformed(RefuseCode::bad_frame, offset,
-                    "a frame of kind " + std::to_string(kind) + ", which is unknown");
+    throw ProtocolError(RefuseCode::bad_frame, offset,
+                        "a frame of kind " + std::to_string(kind) + ", which is unknown");
   if (left.size() - kHeaderBytes < size) return std::nullopt;
   return Piece{kind, left.substr(kHeaderBytes, size), offset + kHeaderBytes};
 }
@@ -190,7 +191,7 @@
     framing_.take(*piece);
     return frame;
   } catch (const base::DecodeError& error) {
-    throw Malformed(RefuseCode::bad_frame, piece->offset + error.offset, error.what());
+    throw ProtocolError(RefuseCode::bad_frame, piece->offset + error.offset, error.what());
   }
 }
 
--- a/src/channel/frames.h
+++ b/src/channel/frames.h
@@ -1,5 +1,8 @@
-// The order channel's frames, as docs/protocol.md gives them: what proxies, assigners and their peers say to
-// each other over one stream. Pure: bytes in, frames out, and back.
+// The frames of the native protocol between proxies, assigners and their peers, as docs/protocol.md gives
+// them: the one place that maps the protocol's fields to the code's terms. Pure: bytes to frames and back. It
+// performs no I/O and decides nothing.
+//
+// A frame: payload length (4 bytes), kind (1 byte), payload. All integers little endian as in base/archive.h.
 #pragma once
 
 #include <cstdint>
@@ -17,31 +20,36 @@
 
 constexpr std::uint32_t kMagic = 0x42534854;  // "BSHT"
 constexpr std::uint16_t kVersion = 1;
-constexpr std::uint32_t kEveryTable = 0xffffffff;     // AdmitOrder::table: all tables of the stream's proxy
-constexpr double kSilentBeats = 3;                    // heartbeats without a byte: the stream is dead
-constexpr std::size_t kMostNoteBytes = 256;           // of a peer's note
-constexpr std::size_t kHeaderBytes = 5;               // length of what follows (4), kind (1)
-constexpr std::size_t kMostFrameBytes = 4 * 1048576;  // of a payload; a longer one ends the stream
-
-// ---- Opening ----
-struct Hello {  // proxy to assigner, the first frame of a stream
+// AdmissionLimitUpdate::table: the limit is for all tables of the stream's proxy.
+constexpr std::uint32_t kAllTables = 0xffffffff;
+// Heartbeat periods without a byte after which a side takes the stream for dead: one lost ping is no reason.
+constexpr double kHeartbeatsUntilDead = 3;
+constexpr std::size_t kMaxPeerNoteBytes = 256;  // a note is gossip between controllers, not a transfer
+constexpr std::size_t kHeaderBytes = 5;         // length of what follows (4), kind (1)
+// Of a payload, unless the receiver's settings say less: no peer may make the receiver buffer more.
+constexpr std::size_t kMaxFrameBytes = 4 * 1048576;
+
+// ---- Handshake ----
+// Proxy to assigner, the first frame of a stream.
+struct Hello {
   std::uint32_t magic = kMagic;
   std::uint16_t version = kVersion;
   std::uint32_t proxy = 0;
-  std::uint64_t incarnation = 0;  // drawn anew at each start of the proxy
-  std::uint32_t attempt = 0;      // streams dialled since that start: a later one replaces an earlier
-  std::string locality;           // must be the one that the assigner's settings give the peer's address
-  double usual_rate = 0;          // requests a second; 0: unknown
-  bool only_standing = false;     // holds nothing but its standing tables
-  std::uint64_t held_epoch = 0;   // epoch of the assigner whose orders it holds; 0: none
-  std::uint64_t held_sequence = 0;
+  std::uint64_t incarnation = 0;    // drawn anew at each start of the proxy
+  std::uint32_t attempt = 0;        // streams dialled since that start: a later one replaces an earlier
+  std::string locality;             // must be the one that the assigner's settings give the peer's address
+  double expected_rate = 0;         // requests a second; 0: unknown
+  bool only_static_tables = false;  // it holds no table that an assigner assigned
+  std::uint64_t held_epoch = 0;     // epoch of the assigner whose updates it holds; 0: none
+  std::uint64_t held_sequence = 0;  // the last update message of that epoch that it applied
   bool operator==(const Hello&) const = default;
 };
-struct Welcome {  // assigner to proxy, the answer
+// Assigner to proxy, the answer; sent again when a period changes.
+struct Welcome {
   std::uint16_t version = kVersion;
   std::uint64_t epoch = 0;      // of the assigner's run: grows at each start
   double heartbeat_ms = 0;      // a side that sent nothing for so long sends a ping
-  double report_period_ms = 0;  // reports are due this often
+  double report_period_ms = 0;  // load reports are due this often
   bool operator==(const Welcome&) const = default;
 };
 enum class RefuseCode : std::uint8_t {
@@ -62,76 +70,86 @@
   bool operator==(const Refuse&) const = default;
 };
 
-// ---- Orders ----
-struct LineOrder {  // one line of a table; the endpoint's place comes along so that a proxy needs no list
-  std::uint32_t table = 0, endpoint = 0;
-  double weight = 0;  // 0 removes the line
+// ---- Updates to one proxy. Class masks: bit N is request class N. ----
+// One endpoint's weight in a table. The endpoint's address comes along so that a proxy needs no endpoint list.
+struct WeightUpdate {
+  std::uint32_t table = 0;
+  std::uint32_t endpoint = 0;
+  double weight = 0;  // 0 removes the entry
   std::uint16_t locality = 0;
   std::uint32_t cell = 0;
-  std::uint32_t ip = 0;  // IPv4, most significant byte first; 0 where the line is removed
+  std::uint32_t ip = 0;  // IPv4, most significant byte first; 0 where the entry is removed
   std::uint16_t port = 0;
-  bool operator==(const LineOrder&) const = default;
+  bool operator==(const WeightUpdate&) const = default;
 };
-struct ResetOrder {
+struct ClearTableUpdate {  // of weights and limits
   std::uint32_t table = 0;
-  bool operator==(const ResetOrder&) const = default;
+  bool operator==(const ClearTableUpdate&) const = default;
 };
-struct BindOrder {  // the table begins empty; its lines and levels follow in the same message
+// The proxy uses the table for these classes. It begins empty; its weights and limits follow in the same message.
+struct AssignTableUpdate {
   std::uint64_t classes = 0;
   std::uint32_t table = 0;
-  bool operator==(const BindOrder&) const = default;
+  bool operator==(const AssignTableUpdate&) const = default;
 };
-struct WithdrawOrder {
+struct ExcludeEndpointUpdate {  // no request to the endpoint, whatever its weights say, until it is lifted
   std::uint32_t endpoint = 0;
-  bool withdrawn = true;
-  bool operator==(const WithdrawOrder&) const = default;
+  bool excluded = true;
+  bool operator==(const ExcludeEndpointUpdate&) const = default;
 };
-struct AdmitOrder {
-  std::uint32_t table = 0;
+struct AdmissionLimitUpdate {
+  std::uint32_t table = 0;  // or kAllTables
   std::uint64_t classes = 0;
-  double level = 0;
-  std::uint8_t retry = 0;  // 0 never, 1 after proof that the first try never ran, 2 once, 3 twice
-  bool operator==(const AdmitOrder&) const = default;
+  double limit = 0;             // a share or requests a second, as the settings say
+  std::uint8_t retry_mode = 0;  // 0 never, 1 after proof that the first attempt never ran, 2 once, 3 twice
+  bool operator==(const AdmissionLimitUpdate&) const = default;
 };
-struct BarrierOrder {
-  std::uint32_t serial = 0;
-  bool operator==(const BarrierOrder&) const = default;
+struct AckRequestUpdate {  // the controller wants to know when all before it is applied
+  std::uint32_t sequence_number = 0;
+  bool operator==(const AckRequestUpdate&) const = default;
 };
-using Order = std::variant<LineOrder, ResetOrder, BindOrder, WithdrawOrder, AdmitOrder, BarrierOrder>;
+// The order is part of the protocol.
+using Update = std::variant<WeightUpdate, ClearTableUpdate, AssignTableUpdate, ExcludeEndpointUpdate,
+                            AdmissionLimitUpdate, AckRequestUpdate>;
 
-struct Orders {                // one decision's message to one proxy, applied as a whole
+struct UpdateMessage {         // one decision's message to one proxy, applied as a whole
   std::uint64_t sequence = 0;  // 1, 2, ... within the stream
   double decided_at_ms = 0;    // on the assigner's monotonic clock
-  double lines = 0;            // what it counts in the channel, envelope included
-  std::vector<Order> orders;
-  bool operator==(const Orders&) const = default;
+  double lines = 0;            // what it counts in the channel, in lines, the message's overhead included
+  std::vector<Update> updates;
+  bool operator==(const UpdateMessage&) const = default;
 };
-struct Applied {
-  std::uint64_t sequence = 0;  // this message and all before it are in force
-  bool operator==(const Applied&) const = default;
+struct Acknowledgement {
+  std::uint64_t sequence = 0;  // this message and all before it are applied
+  bool operator==(const Acknowledgement&) const = default;
 };
 
-// ---- Reports ----
-struct Heard {  // tries that ended at an endpoint since the last report
-  std::uint32_t endpoint = 0, tries = 0, failed = 0;
-  double latency_ms = 0;                             // mean of the good ones; 0 if there were none
-  std::vector<std::pair<std::string, double>> load;  // the newest load report among the answers
-  bool operator==(const Heard&) const = default;
+// ---- Load reports ----
+struct EndpointReportEntry {  // attempts that ended at an endpoint since the last report
+  std::uint32_t endpoint = 0;
+  std::uint32_t attempts = 0;
+  std::uint32_t failed = 0;
+  double mean_latency_ms = 0;                        // of the successful ones; 0 if there were none
+  std::vector<std::pair<std::string, double>> load;  // the newest load figures among the responses, by name
+  bool operator==(const EndpointReportEntry&) const = default;
 };
-struct Usage {  // of a class since the last report; what came before it may end in it
+// Requests of a class since the last report. A request may arrive in one report's interval and end in the next.
+struct DemandReportEntry {
   std::uint16_t request_class = 0;
-  std::uint32_t came = 0, unanswered = 0, in_time = 0;  // in_time: answered within the class's SLO
-  bool operator==(const Usage&) const = default;
+  std::uint32_t arrivals = 0;
+  std::uint32_t failed = 0;
+  std::uint32_t within_objective = 0;  // answered within the class's latency objective
+  bool operator==(const DemandReportEntry&) const = default;
 };
-struct Report {
+struct LoadReportMessage {
   std::uint64_t sequence = 0;  // 1, 2, ... within the stream
-  double span_ms = 0;
-  std::vector<Heard> heard;
-  std::vector<Usage> usage;
-  bool operator==(const Report&) const = default;
+  double interval_ms = 0;      // that it covers
+  std::vector<EndpointReportEntry> endpoints;
+  std::vector<DemandReportEntry> demand;
+  bool operator==(const LoadReportMessage&) const = default;
 };
 
-// ---- Upkeep and peers ----
+// ---- Heartbeat and peers ----
 struct Ping {
   std::uint64_t token = 0;
   bool operator==(const Ping&) const = default;
@@ -147,21 +165,22 @@
   bool operator==(const PeerHello&) const = default;
 };
 struct PeerNote {
-  std::string payload;  // kMostNoteBytes at most
+  std::string payload;  // kMaxPeerNoteBytes at most
   bool operator==(const PeerNote&) const = default;
 };
 
 // The kind byte of a frame is its position here, from 1.
-using Frame = std::variant<Hello, Welcome, Refuse, Orders, Applied, Report, Ping, Pong, PeerHello, PeerNote>;
-const char* kind_name(const Frame& frame);
+using Frame = std::variant<Hello, Welcome, Refuse, UpdateMessage, Acknowledgement, LoadReportMessage, Ping,
+                           Pong, PeerHello, PeerNote>;
+const char* kind_name(const Frame& frame);  // as the protocol page calls it, for messages to people
 
-// A frame that breaks the rules; `offset` counts bytes since the stream began.
-class Malformed : public std::runtime_error {
+// A frame that breaks the protocol. The stream that it came on can't be read on.
+class ProtocolError : public std::runtime_error {
  public:
-  Malformed(RefuseCode refusal, std::uint64_t where, const std::string& reason)
-      : std::runtime_error(reason), code(refusal), offset(where) {}
-  RefuseCode code;
-  std::uint64_t offset;
+  ProtocolError(RefuseCode refuse_code, std::uint64_t stream_offset, const std::string& reason)
+      : std::runtime_error(reason), code(refuse_code), offset(stream_offset) {}
+  RefuseCode code;       // that the peer is refused with
+  std::uint64_t offset;  // of the offending byte, in bytes since the stream began
 };
 
 // Length and kind before each payload, whatever the payloads are: the framing that all streams here share.
@@ -177,7 +196,7 @@
   };
   void allow(std::size_t most_bytes) { most_ = most_bytes; }
   void push(std::string_view bytes);
-  // The next whole frame, if there is one; take() moves behind it. Throws Malformed, before the payload is
+  // The next whole frame, if there is one; take() moves behind it. Throws ProtocolError, before the payload is
   // there, for a frame that is too long or of an unknown kind.
   std::optional<Piece> look() const;
   void take(const Piece& piece) { at_ += kHeaderBytes + piece.payload.size(); }
@@ -224,11 +243,11 @@
 // Frames from a byte stream, however it is cut. Once all are taken it holds at most one unfinished frame.
 class FrameParser {
  public:
-  explicit FrameParser(std::size_t most_bytes = kMostFrameBytes)
+  explicit FrameParser(std::size_t most_bytes = kMaxFrameBytes)
       : framing_(most_bytes, std::variant_size_v<Frame>) {}
   void allow(std::size_t most_bytes) { framing_.allow(most_bytes); }  // for the frames yet to be taken
   void push(std::string_view bytes) { framing_.push(bytes); }
-  // The next whole frame, if there is one. Throws Malformed; the stream is then at its end.
+  // The next whole frame, if there is one. Throws ProtocolError; the stream is then at its end.
   std::optional<Frame> next();
   // Both at once: appends the frames that `bytes` completes.
   void feed(std::string_view bytes, std::vector<Frame>& out);
--- a/src/configstream/client.cpp
+++ b/src/configstream/client.cpp
@@ -61,7 +61,7 @@
       }
       if (state_ != State::streaming) return;
     }
-  } catch (const channel::Malformed& fault) {
+  } catch (const channel::ProtocolError& fault) {
     hang_up(fault.code, fmt::format("at byte {}: {}", fault.offset, fault.what()), now);
   }
 }
@@ -293,7 +293,7 @@
     effects_.push_back(Dial{endpoint_});
   }
   if (state_ != State::streaming) return;
-  if (now >= heard_ + channel::kSilentBeats * o_.heartbeat)
+  if (now >= heard_ + channel::kHeartbeatsUntilDead * o_.heartbeat)
     return hang_up(RefuseCode::silent, fmt::format("no byte for {:.0f} ms", now - heard_), now);
   if (arriving_ && now >= arriving_->begun + o_.deliver_within)
     return hang_up(RefuseCode::unexpected,
@@ -308,7 +308,7 @@
 Ms Client::next_due() const {
   if (state_ == State::dialling) return 1e300;  // closed() or connected() comes
   if (state_ == State::waiting) return o_.endpoints > 0 ? dial_at_ : 1e300;
-  Ms due = std::min(heard_ + channel::kSilentBeats * o_.heartbeat, sent_ + o_.heartbeat);
+  Ms due = std::min(heard_ + channel::kHeartbeatsUntilDead * o_.heartbeat, sent_ + o_.heartbeat);
   if (endpoint_ != 0) due = std::min(due, opened_ + o_.return_after);
   return arriving_ ? std::min(due, arriving_->begun + o_.deliver_within) : due;
 }
--- a/src/configstream/wire.cpp
+++ b/src/configstream/wire.cpp
@@ -65,7 +65,7 @@
     framing_.take(*piece);
     return frame;
   } catch (const base::DecodeError& error) {
-    throw channel::Malformed(channel::RefuseCode::bad_frame, piece->offset + error.offset, error.what());
+    throw channel::ProtocolError(channel::RefuseCode::bad_frame, piece->offset + error.offset, error.what());
   }
 }
 
--- a/src/configstream/wire.h
+++ b/src/configstream/wire.h
@@ -98,7 +98,7 @@
  public:
   explicit FrameParser(std::size_t most_bytes) : framing_(most_bytes, std::variant_size_v<Frame>) {}
   void push(std::string_view bytes) { framing_.push(bytes); }
-  std::optional<Frame> next();  // throws channel::Malformed
+  std::optional<Frame> next();  // throws channel::ProtocolError
 
  private:
   channel::Framing framing_;
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -566,8 +566,8 @@
                              .incarnation = x.incarnation,
                              .attempt = x.attempt,
                              .locality = x.model->spec().locality_name,
-                             .usual_rate = x.rate,
-                             .only_standing = x.model->only_standing(),
+                             .expected_rate = x.rate,
+                             .only_static_tables = x.model->only_standing(),
                              .held_epoch = x.epoch,
                              .held_sequence = x.applied});
     });
@@ -650,12 +650,12 @@
         if (p.joined) continue;
         p.epoch = welcome->epoch, p.applied = 0, p.joined = true;
         note(StreamUp{p.number, chosen(p).instance});
-      } else if (auto* orders = std::get_if<channel::Orders>(&f)) {
+      } else if (auto* orders = std::get_if<channel::UpdateMessage>(&f)) {
         p.model->apply(*orders);
         p.applied = orders->sequence;
         note(OrdersCame{p.number, *orders});
         p.model->take_left();
-        send(k, channel::Applied{orders->sequence});
+        send(k, channel::Acknowledgement{orders->sequence});
       } else if (auto* ping = std::get_if<channel::Ping>(&f)) {
         send(k, channel::Pong{ping->token});
       } else if (auto* refuse = std::get_if<channel::Refuse>(&f)) {
@@ -671,7 +671,7 @@
     ProxyRun& p = proxies_[k];
     if (p.life != life) return;
     Ms now = engine_.now();
-    if (p.open && now - p.heard > channel::kSilentBeats * p.heartbeat) redial(k);
+    if (p.open && now - p.heard > channel::kHeartbeatsUntilDead * p.heartbeat) redial(k);
     else if (p.joined && now - p.sent >= p.heartbeat) send(k, channel::Ping{p.applied});
     engine_.after(p.heartbeat / 2, [this, k, life] { beat(k, life); });
   }
@@ -679,7 +679,7 @@
     ProxyRun& p = proxies_[k];
     if (p.life != life) return;
     if (p.joined) {
-      channel::Report due = p.model->report(engine_.now());
+      channel::LoadReportMessage due = p.model->report(engine_.now());
       if (reporting_.late > 0)
         engine_.after(reporting_.late, [this, k, life, number = p.stream_number, due] {
           const ProxyRun& x = proxies_[k];
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -112,9 +112,9 @@
     send(id, channel::Welcome{.epoch = epoch_,
                               .heartbeat_ms = site_.heartbeat,
                               .report_period_ms = site_.policy.report_period.count()});
-    std::vector<channel::Order> orders;
+    std::vector<channel::Update> orders;
     for (std::uint32_t t : {0u, 1u})
-      if (classes_[t] != 0) orders.push_back(channel::BindOrder{classes_[t], t});
+      if (classes_[t] != 0) orders.push_back(channel::AssignTableUpdate{classes_[t], t});
     tell(id, s, now, std::move(orders));
   }
   Lines wanted(std::uint32_t locality, bool home) const {
@@ -127,24 +127,24 @@
     }
     return home || !here.empty() ? here : all;
   }
-  void tell(StreamId id, Stream& s, Ms now, std::vector<channel::Order> orders) {
+  void tell(StreamId id, Stream& s, Ms now, std::vector<channel::Update> orders) {
     for (std::uint32_t t : {0u, 1u}) {
       if (classes_[t] == 0) continue;
       Lines want = wanted(s.locality, t == 1);
       for (auto& [endpoint, weight] : s.sent[t])
-        if (!want.contains(endpoint)) orders.push_back(channel::LineOrder{t, endpoint, 0});
+        if (!want.contains(endpoint)) orders.push_back(channel::WeightUpdate{t, endpoint, 0});
       for (auto& [endpoint, weight] : want) {
         auto had = s.sent[t].find(endpoint);
         if (had != s.sent[t].end() && had->second == weight) continue;
         const assigner::ListEntry& e = *book_.find(endpoint);
-        orders.push_back(channel::LineOrder{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
-                                            e.cell, e.address.ip, e.address.port});
+        orders.push_back(channel::WeightUpdate{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
+                                               e.cell, e.address.ip, e.address.port});
       }
       s.sent[t] = std::move(want);
     }
     if (orders.empty()) return;
     auto lines = static_cast<double>(orders.size());
-    send(id, channel::Orders{++s.sequence, now, lines, std::move(orders)});
+    send(id, channel::UpdateMessage{++s.sequence, now, lines, std::move(orders)});
   }
 
   const assigner::Site& site_;
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -124,8 +124,8 @@
                                                                                .incarnation = 1,
                                                                                .attempt = 1,
                                                                                .locality = "here",
-                                                                               .usual_rate = 10,
-                                                                               .only_standing = true}));
+                                                                               .expected_rate = 10,
+                                                                               .only_static_tables = true}));
                          },
                          [this, &s](std::string_view bytes) { came(s, bytes); },
                          {},
@@ -139,16 +139,16 @@
     s.parser.feed(bytes, frames);
     for (const channel::Frame& f : frames) {
       if (std::get_if<channel::Welcome>(&f)) ++ready;
-      if (std::get_if<channel::Report>(&f)) ++back, push(s);
+      if (std::get_if<channel::LoadReportMessage>(&f)) ++back, push(s);
       if (std::get_if<channel::Pong>(&f)) ++back, push(s);
       if (auto* ping = std::get_if<channel::Ping>(&f))
         s.connection->send(channel::encode(channel::Pong{ping->token}));
       if (auto* refuse = std::get_if<channel::Refuse>(&f))
         throw std::runtime_error("refused: " + refuse->reason);
-      if (auto* o = std::get_if<channel::Orders>(&f)) {
-        ++orders, lines += o->orders.size();
+      if (auto* o = std::get_if<channel::UpdateMessage>(&f)) {
+        ++orders, lines += o->updates.size();
         latency(std::max(0.001, base::monotonic_ms() - o->decided_at_ms));
-        s.connection->send(channel::encode(channel::Applied{o->sequence}));
+        s.connection->send(channel::encode(channel::Acknowledgement{o->sequence}));
       }
     }
   }
@@ -159,11 +159,11 @@
     if (!echoing_) s.connection->send(channel::encode(channel::Ping{++s.report}));
   }
   void send_report(Stream& s, Ms span) {
-    channel::Report report{.sequence = ++s.report, .span_ms = span};
+    channel::LoadReportMessage report{.sequence = ++s.report, .interval_ms = span};
     for (std::uint32_t e = 0; e < 10; ++e)  // ten endpoints and three classes: as a proxy of a day reports
-      report.heard.push_back(
+      report.endpoints.push_back(
           {(s.id + e) % static_cast<std::uint32_t>(servers) + 1, 10, 0, 20, {{"utilization", 0.4}}});
-    for (std::uint16_t c = 0; c < 3; ++c) report.usage.push_back({c, 30, 0});
+    for (std::uint16_t c = 0; c < 3; ++c) report.demand.push_back({c, 30, 0});
     s.connection->send(channel::encode(report));
   }
 
--- a/src/standin/control.cpp
+++ b/src/standin/control.cpp
@@ -96,7 +96,7 @@
         return;
       }
     }
-  } catch (const channel::Malformed&) {
+  } catch (const channel::ProtocolError&) {
     peer.connection->close();
     peers_.erase(id);
   }
--- a/src/standin/proxy.cpp
+++ b/src/standin/proxy.cpp
@@ -143,8 +143,8 @@
                                         .incarnation = incarnation_,
                                         .attempt = attempt_,
                                         .locality = model_.spec().locality_name,
-                                        .usual_rate = options_.usual_rate,
-                                        .only_standing = model_.only_standing(),
+                                        .expected_rate = options_.usual_rate,
+                                        .only_static_tables = model_.only_standing(),
                                         .held_epoch = epoch_,
                                         .held_sequence = applied_});
                   },
@@ -204,7 +204,7 @@
   std::uint64_t number = stream_number_;
   try {
     parser_->feed(bytes, frames);
-  } catch (const channel::Malformed&) {
+  } catch (const channel::ProtocolError&) {
     return redial();
   }
   for (const channel::Frame& f : frames)
@@ -218,12 +218,12 @@
     epoch_ = welcome->epoch, applied_ = 0;
     joined_ = true;
     world_.note(StreamUp{model_.spec().id, options_.assigners[choice_].instance});
-  } else if (auto* orders = std::get_if<channel::Orders>(&f)) {
+  } else if (auto* orders = std::get_if<channel::UpdateMessage>(&f)) {
     model_.apply(*orders);
     applied_ = orders->sequence;
     world_.note(OrdersCame{model_.spec().id, *orders});
     for (const Place& p : model_.take_left()) upstream_.drop_idle(p.address);
-    send(channel::Applied{orders->sequence});
+    send(channel::Acknowledgement{orders->sequence});
   } else if (auto* ping = std::get_if<channel::Ping>(&f)) {
     send(channel::Pong{ping->token});
   } else if (auto* refuse = std::get_if<channel::Refuse>(&f)) {
@@ -237,7 +237,7 @@
 
 void Proxy::beat() {
   Ms now = world_.now();
-  if (stream_ && now - heard_ > channel::kSilentBeats * heartbeat_) redial();
+  if (stream_ && now - heard_ > channel::kHeartbeatsUntilDead * heartbeat_) redial();
   else if (joined_ && now - sent_ >= heartbeat_) send(channel::Ping{applied_});
   world_.reactor.at(now + heartbeat_ / 2, [this, alive = alive_] {
     if (*alive) beat();
@@ -246,7 +246,7 @@
 
 void Proxy::report() {
   if (joined_) {
-    channel::Report due = model_.report(world_.now());
+    channel::LoadReportMessage due = model_.report(world_.now());
     const Reporting& way = world_.reporting;
     if (way.late > 0)
       world_.reactor.at(world_.now() + way.late, [this, alive = alive_, number = stream_number_, due] {
--- a/src/standin/proxy_model.h
+++ b/src/standin/proxy_model.h
@@ -46,8 +46,8 @@
   explicit ProxyModel(ProxySpec spec);
 
   // ---- Orders ----
-  void stream_begins();                       // tables of the stream to come; what is held stays in use
-  void apply(const channel::Orders& orders);  // as a whole
+  void stream_begins();  // tables of the stream to come; what is held stays in use
+  void apply(const channel::UpdateMessage& message);  // as a whole
   bool only_standing() const { return only_standing_; }
   // Endpoints in use before and not now: connections to them are closed.
   std::vector<Place> take_left();
@@ -62,10 +62,10 @@
   std::uint8_t retry_mode(std::size_t request_class) const;
 
   // ---- Reports ----
-  void came(std::size_t request_class) { ++usage_[request_class].came; }
-  void unanswered(std::size_t request_class) { ++usage_[request_class].unanswered; }
-  void in_time(std::size_t request_class) { ++usage_[request_class].in_time; }
-  channel::Report report(Ms now);
+  void came(std::size_t request_class) { ++usage_[request_class].arrivals; }
+  void unanswered(std::size_t request_class) { ++usage_[request_class].failed; }
+  void in_time(std::size_t request_class) { ++usage_[request_class].within_objective; }
+  channel::LoadReportMessage report(Ms now);
   bool loses_report(double share) {  // every so many-th, whatever chance does
     if ((lost_ += share) < 1) return false;
     lost_ -= 1;
@@ -99,7 +99,7 @@
   };
   using TablePtr = std::shared_ptr<Table>;
   Table& table(std::uint32_t number);
-  void set_level(Level& level, const channel::AdmitOrder& order);
+  void set_level(Level& level, const channel::AdmissionLimitUpdate& order);
   bool level_lets_in(Level& level, Ms now);
 
   ProxySpec spec_;
@@ -121,7 +121,7 @@
     std::map<std::string, double> load;
   };
   std::map<std::uint32_t, Tries> heard_;
-  std::vector<channel::Usage> usage_;
+  std::vector<channel::DemandReportEntry> usage_;
   std::uint64_t report_sequence_ = 0;
   double lost_ = 0;  // reports due to be lost
   Ms reported_at_ = 0;
--- a/src/standin/tap.h
+++ b/src/standin/tap.h
@@ -40,7 +40,7 @@
 };
 struct OrdersCame {  // a proxy received and applied a message
   std::uint32_t proxy = 0;
-  channel::Orders message;
+  channel::UpdateMessage message;
 };
 struct TrySent {  // a proxy wrote a request to a server's socket
   std::uint32_t proxy = 0, endpoint = 0;
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -24,10 +24,10 @@
   ASSERT_EQ(tables.size(), 2u);
   for (auto& [number, lines] : tables)
     for (std::uint32_t local : {2u, 4u}) EXPECT_TRUE(lines.contains(local)) << number;
-  auto orders = rig.got<channel::Orders>(p);
+  auto orders = rig.got<channel::UpdateMessage>(p);
   for (std::size_t k = 0; k < orders.size(); ++k) EXPECT_EQ(orders[k].sequence, k + 1);
   EXPECT_EQ(rig.core.waiting_lines(), 0);
-  auto* line = std::get_if<channel::LineOrder>(&orders[0].orders[1]);
+  auto* line = std::get_if<channel::WeightUpdate>(&orders[0].updates[1]);
   ASSERT_TRUE(line);
   EXPECT_EQ(line->ip >> 24, 127u);
   EXPECT_EQ(line->port, 8000);
@@ -65,7 +65,7 @@
   StreamId liar = rig.open("127.10.1.13:1");
   rig.say(liar, channel::Hello{.proxy = 6, .locality = "south"});
   StreamId early = rig.open("127.10.1.14:1");
-  rig.say(early, channel::Applied{1});
+  rig.say(early, channel::Acknowledgement{1});
   rig.live({good}, 1000);
   EXPECT_NE(rig.refusal(silent).find("no hello in time"), std::string::npos);
   EXPECT_NE(rig.refusal(rubbish).find("at byte 0: a frame of"), std::string::npos);
@@ -85,10 +85,10 @@
   Rig rig;
   rig.list(list_line("total", 1, {2}));
   StreamId p = rig.join(0);
-  rig.say(p, channel::Applied{99});
+  rig.say(p, channel::Acknowledgement{99});
   EXPECT_TRUE(rig.is_closed(p));
   StreamId q = rig.join(1);
-  rig.say(q, channel::Report{1, 250, {}, {{9, 1, 0}}});
+  rig.say(q, channel::LoadReportMessage{1, 250, {}, {{9, 1, 0}}});
   EXPECT_NE(rig.refusal(q).find("a report on class 9, there are 2"), std::string::npos);
 }
 
@@ -125,8 +125,8 @@
   EXPECT_NE(rig.refusal(s).find("a frame of 2048 bytes, 1024 are allowed"), std::string::npos);
   // A report may follow the hello at once, and be longer than a hello may be.
   StreamId p = rig.open("127.10.1.2:1");
-  channel::Report report{.sequence = 1, .span_ms = 250};
-  for (std::uint32_t e = 0; e < 200; ++e) report.heard.push_back({e, 1, 0, 20, {}});
+  channel::LoadReportMessage report{.sequence = 1, .interval_ms = 250};
+  for (std::uint32_t e = 0; e < 200; ++e) report.endpoints.push_back({e, 1, 0, 20, {}});
   rig.bytes(p,
             channel::encode(channel::Hello{.proxy = 1, .incarnation = 1, .attempt = 1, .locality = "north"}) +
                 channel::encode(report));
@@ -168,13 +168,13 @@
   for (std::uint32_t id = 2; id < 400; id += 2) many.push_back(id);
   rig.list(list_line("total", 1, many));
   StreamId a = rig.join(0);
-  EXPECT_TRUE(rig.got<channel::Orders>(a).empty());  // some hundred lines take their time at 2000/s
+  EXPECT_TRUE(rig.got<channel::UpdateMessage>(a).empty());  // some hundred lines take their time at 2000/s
   rig.pass(20);
-  EXPECT_TRUE(rig.got<channel::Orders>(a).empty());
+  EXPECT_TRUE(rig.got<channel::UpdateMessage>(a).empty());
   rig.pass(400);
-  ASSERT_EQ(rig.got<channel::Orders>(a).size(), 1u);
-  auto m = rig.got<channel::Orders>(a)[0];
-  EXPECT_EQ(m.lines, static_cast<double>(m.orders.size()) + 3);
+  ASSERT_EQ(rig.got<channel::UpdateMessage>(a).size(), 1u);
+  auto m = rig.got<channel::UpdateMessage>(a)[0];
+  EXPECT_EQ(m.lines, static_cast<double>(m.updates.size()) + 3);
   StreamId b = rig.join(1);
   rig.core.stream_closed(b, "reset", rig.now);
   rig.pass(400);
@@ -299,7 +299,7 @@
           break;
         case 6:
           if (!rig.is_closed(s))
-            rig.say(s, channel::Report{
+            rig.say(s, channel::LoadReportMessage{
                            std::uint64_t(step) + 1, 250, {{2, 10, draw(10), 30, {}}}, {{0, draw(50), 0}}});
           break;
         default: {
@@ -319,7 +319,8 @@
     for (StreamId stream : all) {
       ASSERT_FALSE(rig.is_closed(stream)) << "seed " << seed;
       std::uint64_t next = 1;
-      for (auto& m : rig.got<channel::Orders>(stream)) ASSERT_EQ(m.sequence, next++) << "seed " << seed;
+      for (auto& m : rig.got<channel::UpdateMessage>(stream))
+        ASSERT_EQ(m.sequence, next++) << "seed " << seed;
       auto tables = rig.tables(stream);
       ASSERT_EQ(tables.size(), 2u) << "seed " << seed;
       for (auto& [number, lines] : tables) EXPECT_FALSE(lines.empty()) << "seed " << seed;
--- a/tests/assigner/rig.h
+++ b/tests/assigner/rig.h
@@ -95,8 +95,8 @@
                            .incarnation = incarnation,
                            .attempt = attempt,
                            .locality = south ? "south" : "north",
-                           .usual_rate = 10,
-                           .only_standing = true});
+                           .expected_rate = 10,
+                           .only_static_tables = true});
     return id;
   }
   void list(const std::string& line) {
@@ -127,13 +127,13 @@
   // What a proxy holds by the orders that came: lines by class.
   std::map<std::uint32_t, std::map<std::uint32_t, double>> tables(StreamId id) {
     std::map<std::uint32_t, std::map<std::uint32_t, double>> out;
-    for (auto& message : got<channel::Orders>(id))
-      for (auto& order : message.orders) {
-        if (auto* line = std::get_if<channel::LineOrder>(&order)) {
+    for (auto& message : got<channel::UpdateMessage>(id))
+      for (auto& order : message.updates) {
+        if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
           if (line->weight > 0) out[line->table][line->endpoint] = line->weight;
           else out[line->table].erase(line->endpoint);
         }
-        if (auto* bind = std::get_if<channel::BindOrder>(&order)) out[bind->table].clear();
+        if (auto* bind = std::get_if<channel::AssignTableUpdate>(&order)) out[bind->table].clear();
       }
     return out;
   }
@@ -142,8 +142,8 @@
     for (Ms end = now + time; now < end; pass(50))
       for (StreamId id : streams) {
         if (is_closed(id)) continue;
-        auto orders = got<channel::Orders>(id);
-        if (!orders.empty()) say(id, channel::Applied{orders.back().sequence});
+        auto orders = got<channel::UpdateMessage>(id);
+        if (!orders.empty()) say(id, channel::Acknowledgement{orders.back().sequence});
         else say(id, channel::Ping{1});
       }
   }
--- a/tests/assigner/streamed_test.cpp
+++ b/tests/assigner/streamed_test.cpp
@@ -145,14 +145,14 @@
   std::size_t seen = 0;
   bool ever_empty = false;
   void follow(Rig& rig, StreamId id) {
-    auto all = rig.got<channel::Orders>(id);
+    auto all = rig.got<channel::UpdateMessage>(id);
     for (; seen < all.size(); ++seen) {
-      for (auto& order : all[seen].orders) {
-        if (auto* line = std::get_if<channel::LineOrder>(&order)) {
+      for (auto& order : all[seen].updates) {
+        if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
           if (line->weight > 0) tables[line->table].insert(line->endpoint);
           else tables[line->table].erase(line->endpoint);
         }
-        if (auto* bind = std::get_if<channel::BindOrder>(&order)) {
+        if (auto* bind = std::get_if<channel::AssignTableUpdate>(&order)) {
           tables[bind->table].clear();
           for (int c = 0; c < 2; ++c)
             if (bind->classes >> c & 1) of_class[c] = bind->table;
@@ -245,7 +245,7 @@
   EXPECT_LT(times_taken, 12);
   for (StreamId id : streams) {
     std::vector<Ms> times;
-    for (auto& m : rig.got<channel::Orders>(id))
+    for (auto& m : rig.got<channel::UpdateMessage>(id))
       if (m.decided_at_ms > 1007500) times.push_back(m.decided_at_ms);
     for (std::size_t k = 6; k < times.size(); ++k)
       EXPECT_GT(times[k] - times[k - 6], 3000) << "message " << k << " of proxy stream";
--- a/tests/channel/frames_test.cpp
+++ b/tests/channel/frames_test.cpp
@@ -11,16 +11,17 @@
 namespace {
 
 std::vector<Frame> one_of_each() {
-  return {Hello{.proxy = 7, .incarnation = 9, .attempt = 2, .locality = "north", .usual_rate = 12.5},
+  return {Hello{.proxy = 7, .incarnation = 9, .attempt = 2, .locality = "north", .expected_rate = 12.5},
           Welcome{.epoch = 5, .heartbeat_ms = 500, .report_period_ms = 250},
           Refuse{RefuseCode::id_in_use, 300, "proxy 7 is here"},
-          Orders{3,
-                 1000.5,
-                 9,
-                 {BindOrder{3, 1}, LineOrder{1, 44, 0.5, 1, 2, 0x7f0a0001, 8000}, ResetOrder{2},
-                  WithdrawOrder{44, true}, AdmitOrder{1, 1, 25, 2}, BarrierOrder{77}}},
-          Applied{3},
-          Report{1, 250, {{44, 10, 1, 25.5, {{"utilization", 0.5}}}}, {{0, 12, 1}}},
+          UpdateMessage{
+              3,
+              1000.5,
+              9,
+              {AssignTableUpdate{3, 1}, WeightUpdate{1, 44, 0.5, 1, 2, 0x7f0a0001, 8000}, ClearTableUpdate{2},
+               ExcludeEndpointUpdate{44, true}, AdmissionLimitUpdate{1, 1, 25, 2}, AckRequestUpdate{77}}},
+          Acknowledgement{3},
+          LoadReportMessage{1, 250, {{44, 10, 1, 25.5, {{"utilization", 0.5}}}}, {{0, 12, 1}}},
           Ping{1},
           Pong{1},
           PeerHello{.instance = 2},
@@ -50,7 +51,7 @@
     parser.feed(lead, out);
     try {
       parser.feed(bytes, out);
-    } catch (const Malformed& error) {
+    } catch (const ProtocolError& error) {
       return {error.code, error.offset - lead.size()};
     }
     return {RefuseCode{}, 0};
@@ -68,20 +69,20 @@
 }
 
 TEST(Frames, ImpossibleFiguresAreRefused) {
-  const Frame kBad[] = {Hello{.usual_rate = -1},
-                        Hello{.usual_rate = NAN},
-                        Orders{1, 0, 1, {LineOrder{.weight = -0.5}}},
-                        Orders{1, 0, 1, {AdmitOrder{.level = INFINITY}}},
-                        Orders{1, 0, 1, {AdmitOrder{.retry = 4}}},
-                        Report{1, 250, {{1, 1, 2, 0, {}}}, {}},
-                        Report{1, -1, {}, {}},
-                        Report{1, 250, {{1, 1, 0, 1, {{"utilization", NAN}}}}, {}},
-                        Report{1, 3600001, {}, {}},
+  const Frame kBad[] = {Hello{.expected_rate = -1},
+                        Hello{.expected_rate = NAN},
+                        UpdateMessage{1, 0, 1, {WeightUpdate{.weight = -0.5}}},
+                        UpdateMessage{1, 0, 1, {AdmissionLimitUpdate{.limit = INFINITY}}},
+                        UpdateMessage{1, 0, 1, {AdmissionLimitUpdate{.retry_mode = 4}}},
+                        LoadReportMessage{1, 250, {{1, 1, 2, 0, {}}}, {}},
+                        LoadReportMessage{1, -1, {}, {}},
+                        LoadReportMessage{1, 250, {{1, 1, 0, 1, {{"utilization", NAN}}}}, {}},
+                        LoadReportMessage{1, 3600001, {}, {}},
                         PeerNote{std::string(257, 'x')}};
   for (const Frame& f : kBad) {
     FrameParser parser;
     std::vector<Frame> out;
-    EXPECT_THROW(parser.feed(encode(f), out), Malformed) << kind_name(f);
+    EXPECT_THROW(parser.feed(encode(f), out), ProtocolError) << kind_name(f);
   }
 }
 
@@ -89,7 +90,7 @@
 TEST(Frames, MoreMayEndThanCame) {
   FrameParser parser;
   std::vector<Frame> out;
-  parser.feed(encode(Report{1, 250, {}, {{0, 1, 2, 3}}}), out);
+  parser.feed(encode(LoadReportMessage{1, 250, {}, {{0, 1, 2, 3}}}), out);
   EXPECT_EQ(out.size(), 1u);
 }
 
@@ -120,7 +121,7 @@
     try {
       std::size_t step = 1 + draw(97);
       for (std::size_t k = 0; k < mutated.size(); k += step) parser.feed(mutated.substr(k, step), out);
-    } catch (const Malformed& error) {
+    } catch (const ProtocolError& error) {
       ++refused;
       EXPECT_LE(error.offset, mutated.size());
     }
--- a/tests/standin/models_test.cpp
+++ b/tests/standin/models_test.cpp
@@ -74,7 +74,7 @@
   EXPECT_NE(s.arrive(2000, {3, 3, 0, "", 5}), ServerModel::Taken::error);
 }
 
-channel::LineOrder line(std::uint32_t table, std::uint32_t endpoint, double weight) {
+channel::WeightUpdate line(std::uint32_t table, std::uint32_t endpoint, double weight) {
   return {.table = table, .endpoint = endpoint, .weight = weight, .ip = 1, .port = 1};
 }
 
@@ -82,7 +82,7 @@
   spec.standing = {{.endpoint = 9}};
   ProxyModel p(spec);
   p.stream_begins();
-  p.apply({1, 0, 5, {channel::BindOrder{3, 0}, line(0, 1, 1), line(0, 2, 3)}});
+  p.apply({1, 0, 5, {channel::AssignTableUpdate{3, 0}, line(0, 1, 1), line(0, 2, 3)}});
   return p;
 }
 
@@ -103,7 +103,7 @@
   p.stream_begins();
   EXPECT_EQ(p.lines_of(0).size(), 2u);
   // The new stream's table 0 is another table: class 1, not bound yet, keeps the old one.
-  p.apply({1, 0, 5, {channel::BindOrder{1, 0}, line(0, 7, 1)}});
+  p.apply({1, 0, 5, {channel::AssignTableUpdate{1, 0}, line(0, 7, 1)}});
   EXPECT_EQ(p.lines_of(0), std::vector<std::uint32_t>{7});
   EXPECT_EQ(p.lines_of(1), (std::vector<std::uint32_t>{1, 2}));
 }
@@ -119,12 +119,12 @@
 
 TEST(ProxyModel, LetsInByRateAndRefusesAtZero) {
   ProxyModel p = bound();
-  p.apply({2, 0, 5, {channel::AdmitOrder{0, 1, 20, 0}, channel::AdmitOrder{0, 2, 0, 0}}});
+  p.apply({2, 0, 5, {channel::AdmissionLimitUpdate{0, 1, 20, 0}, channel::AdmissionLimitUpdate{0, 2, 0, 0}}});
   int in = 0;
   for (int ms = 0; ms < 10000; ms += 5) in += p.admit(ms, 0);
   EXPECT_NEAR(in, 200, 8);
   EXPECT_FALSE(p.admit(10000, 1));
-  p.apply({3, 0, 5, {channel::AdmitOrder{channel::kEveryTable, 1, 5, 0}}});
+  p.apply({3, 0, 5, {channel::AdmissionLimitUpdate{channel::kAllTables, 1, 5, 0}}});
   in = 0;
   for (int ms = 20000; ms < 30000; ms += 5) in += p.admit(ms, 0);
   EXPECT_NEAR(in, 50, 5);  // where both are set, the lower holds
@@ -132,7 +132,9 @@
 
 TEST(ProxyModel, RetriesByItsModeAlone) {
   ProxyModel p = bound();
-  auto mode = [&](std::uint8_t retry) { p.apply({2, 0, 5, {channel::AdmitOrder{0, 1, 1e6, retry}}}); };
+  auto mode = [&](std::uint8_t retry) {
+    p.apply({2, 0, 5, {channel::AdmissionLimitUpdate{0, 1, 1e6, retry}}});
+  };
   mode(0);
   EXPECT_FALSE(p.may_retry(0, 1, true));
   mode(1);
@@ -152,13 +154,13 @@
   p.ended(10, 1, true, 30, {{"utilization", 0.5}}), p.ended(10, 1, true, 50, {}),
       p.ended(10, 1, false, 0, {});
   auto r = p.report(250);
-  EXPECT_EQ(r.span_ms, 250);
-  ASSERT_EQ(r.heard.size(), 1u);
-  EXPECT_EQ(r.heard[0].tries, 3u);
-  EXPECT_EQ(r.heard[0].failed, 1u);
-  EXPECT_EQ(r.heard[0].latency_ms, 40);
-  EXPECT_EQ(r.usage[0].came, 2u);
-  EXPECT_TRUE(p.report(500).heard.empty());
+  EXPECT_EQ(r.interval_ms, 250);
+  ASSERT_EQ(r.endpoints.size(), 1u);
+  EXPECT_EQ(r.endpoints[0].attempts, 3u);
+  EXPECT_EQ(r.endpoints[0].failed, 1u);
+  EXPECT_EQ(r.endpoints[0].mean_latency_ms, 40);
+  EXPECT_EQ(r.demand[0].arrivals, 2u);
+  EXPECT_TRUE(p.report(500).endpoints.empty());
 }
 
 alerts::Store looks(std::initializer_list<std::int64_t> times) {
