--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -100,14 +100,15 @@
 
 class Service {
  public:
-  Service(const std::vector<config::Source>& files, Beginning& beginning, Gate gate, Between between)
+  Service(const std::vector<config::Source>& files, Beginning& beginning, Gate gate,
+          MessageInterceptor interceptor)
       : site_(std::move(beginning.site)),
         log_(site_.log_file, to_level(site_.log_level)),
         state_(site_.state_folder),
         core_(site_, state_.next_epoch(log_), state_.warm_list(log_), reactor_.now(), base::wall_ms()),
         client_(reactor_, {.from = {site_.channel.ip, 0}, .idle_ms = 15000, .connect_ms = kConnectMost}),
         disk_(kMostDiskBytes) {
-    core_.set_between(std::move(between));
+    core_.set_message_interceptor(std::move(interceptor));
     open_record();
     listener_ = std::make_unique<net::Listener>(
         reactor_, site_.channel, [this](auto c) { accept(std::move(c)); },
@@ -135,7 +136,7 @@
   }
   void turn() {
     turn_due_ = false;
-    core_.turn(reactor_.now());
+    core_.run_once(reactor_.now());
     for (Effect& effect : core_.take_effects()) std::visit([this](auto& e) { carry_out(e); }, effect);
     if (timer_) reactor_.cancel(*timer_);
     timer_ = reactor_.at(core_.next_due(), [this] { timer_.reset(), soon(); });
@@ -191,19 +192,20 @@
           if (!mine()) return;
           told->append(piece);
           for (std::size_t end; (end = told->find('\n')) != told->npos; told->erase(0, end + 1))
-            if (end == 0) core_.list_beat(reactor_.now());
-            else core_.list_line(std::string_view(*told).substr(0, end), reactor_.now(), base::wall_ms());
-          if (told->size() > kMostListLine)
-            told->clear(), core_.list_lost("a line is too long", reactor_.now());
+            if (end == 0) core_.watch_heartbeat_received(reactor_.now());
+            else
+              core_.endpoint_list_received(std::string_view(*told).substr(0, end), reactor_.now(),
+                                           base::wall_ms());
+          if (told->size() > kMostListLine) told->clear(), core_.endpoint_list_lost("a line is too long");
           soon();
         },
         [this, mine](http::Client::Answer&& answer) {
           if (!mine()) return;
           watch_ = 0;
-          core_.list_lost(answer.failure == http::Client::Failure::none
-                              ? "the watch ended with status " + std::to_string(answer.message.status)
-                              : answer.detail,
-                          reactor_.now());
+          core_.endpoint_list_lost(answer.failure == http::Client::Failure::none
+                                       ? "the watch ended with status " +
+                                             std::to_string(answer.message.status)
+                                       : answer.detail);
           soon();
         });
   }
@@ -212,21 +214,21 @@
     ++watch_number_;
     if (watch_ != 0) client_.cancel(std::exchange(watch_, 0));
   }
-  void carry_out(FetchTheList&) {
+  void carry_out(FetchList&) {
     client_.ask(site_.discovery, http::request("GET", "/v1/list?instance=" + std::to_string(site_.instance)),
                 site_.list_quiet, [this](http::Client::Answer&& answer) {
                   if (answer.failure != http::Client::Failure::none || answer.message.status != 200)
-                    core_.list_lost("fetch failed: " + answer.detail, reactor_.now());
-                  else core_.list_line(answer.message.body, reactor_.now(), base::wall_ms());
+                    core_.endpoint_list_lost("fetch failed: " + answer.detail);
+                  else core_.endpoint_list_received(answer.message.body, reactor_.now(), base::wall_ms());
                   soon();
                 });
   }
-  void carry_out(ProbeServer& e) {
+  void carry_out(SendHealthCheckRequest& e) {
     Ms asked = reactor_.now();
     client_.ask(e.address, http::request("GET", "/probe"), site_.probe_timeout,
                 [this, asked, endpoint = e.endpoint](http::Client::Answer&& answer) {
-                  core_.probe_answered(endpoint, probe::outcome_of(answer), reactor_.now() - asked,
-                                       http::parse_numbers(answer.message.body), reactor_.now());
+                  core_.health_check_completed(endpoint, probe::outcome_of(answer), reactor_.now() - asked,
+                                               http::parse_numbers(answer.message.body));
                   soon();
                 });
   }
@@ -429,10 +431,10 @@
 }  // namespace
 
 void serve(const std::vector<config::Source>& files, Gate gate,
-           const std::function<Between(const Site&)>& between) {
+           const std::function<MessageInterceptor(const Site&)>& interceptor) {
   Beginning beginning = begin(files);
   net::Reactor::block_signals({SIGTERM, SIGINT});
-  Between of_site = between ? between(beginning.site) : nullptr;
+  MessageInterceptor of_site = interceptor ? interceptor(beginning.site) : nullptr;
   Service(files, beginning, std::move(gate), std::move(of_site)).run();
 }
 
--- a/src/assigner/service.h
+++ b/src/assigner/service.h
@@ -19,8 +19,8 @@
 
 // Runs until SIGTERM or SIGINT, from the last good version of the settings or from the files. Throws
 // std::exception if it can't start: no settings that are sound, a port in use, a state folder that another
-// process holds or that can't be written. `gate` judges streamed versions; `between` is for audits.
+// process holds or that can't be written. `gate` judges streamed versions; `interceptor` is for audits.
 void serve(const std::vector<config::Source>& files, Gate gate = nullptr,
-           const std::function<Between(const Site&)>& between = nullptr);
+           const std::function<MessageInterceptor(const Site&)>& interceptor = nullptr);
 
 }  // namespace beamshunt::assigner
--- /dev/null
+++ b/src/assigner/session.cpp
@@ -0,0 +1,30 @@
+#include "assigner/session.h"
+
+#include <algorithm>
+
+namespace beamshunt::assigner {
+
+using channel::kHeartbeatsUntilDead;
+
+Ms Session::next_check(const SessionTimeouts& timeouts) const {
+  if (state == SessionState::handshake_pending) return opened_at + timeouts.handshake;
+  Ms due = std::min(last_received_at + kHeartbeatsUntilDead * timeouts.heartbeat,
+                    std::max(last_sent_at, last_received_at) + timeouts.heartbeat);
+  if (auto deadline = acks.deadline(timeouts.ack)) due = std::min(due, *deadline);
+  return due;
+}
+
+SessionCheck Session::check(const SessionTimeouts& timeouts, Ms now) const {
+  if (state == SessionState::handshake_pending) {
+    if (now >= opened_at + timeouts.handshake) return SessionCheck::handshake_timed_out;
+  } else if (now >= last_received_at + kHeartbeatsUntilDead * timeouts.heartbeat) {
+    return SessionCheck::unresponsive;
+  }
+  // Alive and not applying updates: its lines would fill the channel's queue and hold up everybody's updates.
+  if (auto deadline = acks.deadline(timeouts.ack); deadline && now >= *deadline)
+    return SessionCheck::ack_overdue;
+  if (now >= std::max(last_sent_at, last_received_at) + timeouts.heartbeat) return SessionCheck::ping_due;
+  return SessionCheck::nothing;
+}
+
+}  // namespace beamshunt::assigner
--- /dev/null
+++ b/src/assigner/session_protocol.cpp
@@ -0,0 +1,346 @@
+#include "assigner/session_protocol.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <utility>
+
+namespace beamshunt::assigner {
+namespace {
+
+using channel::kHeartbeatsUntilDead;
+using channel::RefuseCode;
+
+// Between dials of one peer: soon enough for gossip, seldom enough for a peer that is down.
+constexpr Ms kRedialInterval = 500;
+// Who has not said who he is gets no memory to fill: a hello is far shorter.
+constexpr std::size_t kMaxHandshakeFrameBytes = 1024;
+// What a proxy is told when no more streams are taken: time for some to end.
+constexpr Ms kRetryWhenFull = 1000;
+constexpr const char* kStoppingReason = "this assigner is stopping";
+
+}  // namespace
+
+SessionProtocol::SessionProtocol(const Site& site, std::uint64_t epoch, Ms now, SessionListener& listener,
+                                 std::vector<Effect>& effects, Counters& counters)
+    : site_(site), epoch_(epoch), listener_(listener), effects_(effects), counters_(counters) {
+  for (const auto& [instance, address] : site_.peers) dial_at_[instance] = now;
+}
+
+void SessionProtocol::log(log::Level level, std::string event, log::Fields fields) {
+  effects_.emplace_back(LogLine{level, std::move(event), std::move(fields)});
+}
+
+SessionTimeouts SessionProtocol::timeouts() const {
+  return {.handshake = site_.hello_within, .heartbeat = site_.heartbeat, .ack = site_.confirm_within};
+}
+
+// ---- What happens on streams ----
+
+void SessionProtocol::opened(StreamId stream, net::Address peer, Ms now) {
+  Iterator session = sessions_.open(stream, now);
+  session->second.address = peer;
+  session->second.parser = channel::FrameParser(kMaxHandshakeFrameBytes);
+  sessions_.schedule_check(session, timeouts());
+  if (stopping_) return refuse(session, RefuseCode::stopping, kStoppingReason, 0, now);
+  if (sessions_.size() > site_.most_streams)
+    return refuse(session, RefuseCode::full,
+                  fmt::format("{} streams are open, no more are taken", site_.most_streams), kRetryWhenFull,
+                  now);
+  if (!site_.admits_all && !site_.admitted.find(peer.ip))
+    return refuse(session, RefuseCode::bad_locality, "the peer's address is not admitted", 0, now);
+}
+
+void SessionProtocol::peer_dialled(StreamId stream, std::uint32_t instance, Ms now) {
+  Iterator session = sessions_.open(stream, now);
+  session->second.parser = channel::FrameParser(site_.most_frame);
+  sessions_.register_dialled_peer(session, instance);
+  send_frame(session, channel::PeerHello{.instance = site_.instance}, now);
+}
+
+void SessionProtocol::bytes_received(StreamId stream, std::string_view bytes, Ms now) {
+  Iterator session = sessions_.find(stream);
+  if (session == sessions_.end()) return;
+  session->second.last_received_at = now;
+  session->second.parser.push(bytes);
+  try {
+    while (std::optional<channel::Frame> frame = session->second.parser.next()) {
+      handle_frame(session, *frame, now);
+      session = sessions_.find(stream);
+      if (session == sessions_.end()) return;
+    }
+  } catch (const channel::ProtocolError& error) {
+    return refuse(session, error.code, fmt::format("at byte {}: {}", error.offset, error.what()), 0, now);
+  }
+  sessions_.schedule_check(session, timeouts());
+}
+
+void SessionProtocol::closed(StreamId stream, const std::string& reason, Ms now) {
+  Iterator session = sessions_.find(stream);
+  if (session == sessions_.end()) return;
+  ++counters_.broken_streams;
+  end(session, reason, now);
+}
+
+// ---- Frames ----
+
+void SessionProtocol::handle_frame(Iterator session, const channel::Frame& frame, Ms now) {
+  if (const auto* refused = std::get_if<channel::Refuse>(&frame)) {
+    effects_.emplace_back(CloseStream{session->first});
+    return end(session, "refused by the peer: " + refused->reason, now);
+  }
+  bool handled = handle_heartbeat_frame(session, frame, now);
+  if (handled) return;
+  switch (session->second.state) {
+    case SessionState::handshake_pending:
+      handled = handle_handshake_frame(session, frame, now);
+      break;
+    case SessionState::proxy:
+      handled = handle_proxy_frame(session, frame, now);
+      break;
+    case SessionState::peer:
+      handled = handle_peer_frame(session->second, frame);
+      break;
+  }
+  if (handled) return;
+  refuse(session, RefuseCode::unexpected,
+         fmt::format("a {} frame is out of place", channel::kind_name(frame)), 0, now);
+}
+
+bool SessionProtocol::handle_heartbeat_frame(Iterator session, const channel::Frame& frame, Ms now) {
+  if (session->second.state == SessionState::handshake_pending) return false;
+  if (const auto* ping = std::get_if<channel::Ping>(&frame)) {
+    send_frame(session, channel::Pong{ping->token}, now);
+    return true;
+  }
+  return std::holds_alternative<channel::Pong>(frame);  // its bytes have shown that the other side lives
+}
+
+bool SessionProtocol::handle_handshake_frame(Iterator session, const channel::Frame& frame, Ms now) {
+  if (const auto* hello = std::get_if<channel::Hello>(&frame)) {
+    register_proxy(session, *hello, now);
+    return true;
+  }
+  if (const auto* hello = std::get_if<channel::PeerHello>(&frame)) {
+    register_peer(session, *hello, now);
+    return true;
+  }
+  return false;
+}
+
+bool SessionProtocol::handle_proxy_frame(Iterator session, const channel::Frame& frame, Ms now) {
+  if (const auto* acknowledgement = std::get_if<channel::Acknowledgement>(&frame)) {
+    handle_acknowledgement(session, *acknowledgement, now);
+    return true;
+  }
+  if (const auto* report = std::get_if<channel::LoadReportMessage>(&frame)) {
+    handle_load_report(session, *report, now);
+    return true;
+  }
+  return false;
+}
+
+bool SessionProtocol::handle_peer_frame(const Session& session, const channel::Frame& frame) {
+  const auto* note = std::get_if<channel::PeerNote>(&frame);
+  if (!note) return false;
+  listener_.peer_note_received(session.id, *note);
+  return true;
+}
+
+void SessionProtocol::register_proxy(Iterator session, const channel::Hello& hello, Ms now) {
+  Session& s = session->second;
+  auto locality = site_.locality_of.find(s.address.ip);
+  if (!locality)
+    return refuse(session, RefuseCode::bad_locality, "the peer's address is in no locality of the settings",
+                  0, now);
+  const std::string& name = site_.policy.localities[*locality];
+  if (hello.locality != name)
+    return refuse(session, RefuseCode::bad_locality,
+                  fmt::format("proxy {} says it is in \"{}\", its address is in \"{}\"", hello.proxy,
+                              hello.locality, name),
+                  0, now);
+  if (!replace_former_session(session, hello, now)) return;
+  s.parser.allow(site_.most_frame);
+  s.incarnation = hello.incarnation;
+  s.attempt = hello.attempt;
+  s.expected_rate = hello.expected_rate;
+  sessions_.register_proxy(session, hello.proxy);
+  log(log::Level::info, "proxy_registered",
+      {{"proxy", std::to_string(hello.proxy)}, {"peer", net::to_string(s.address)}, {"locality", name}});
+  send_welcome(session, now);
+  listener_.proxy_registered(s, Locality(*locality), hello);
+}
+
+bool SessionProtocol::replace_former_session(Iterator session, const channel::Hello& hello, Ms now) {
+  Iterator former = sessions_.find_proxy(ProxyId{hello.proxy});
+  if (former == sessions_.end()) return true;
+  const Session& f = former->second;
+  // The same run of the proxy has dialled again: the former stream is half open. Another run with the same id
+  // is a restart if the former stream is silent, and else a second proxy by the same id, which must not push
+  // the first one out: the two would do so to each other for ever.
+  bool same_run = f.incarnation == hello.incarnation && hello.attempt > f.attempt;
+  Ms dead_after = kHeartbeatsUntilDead * site_.heartbeat;
+  if (!same_run && now - f.last_received_at <= dead_after) {
+    refuse(session, RefuseCode::id_in_use,
+           fmt::format("proxy {} has a live stream from {}", hello.proxy, net::to_string(f.address)),
+           dead_after, now);
+    return false;
+  }
+  refuse(former, RefuseCode::replaced, fmt::format("proxy {} has a newer stream", hello.proxy), 0, now);
+  return true;
+}
+
+void SessionProtocol::register_peer(Iterator session, const channel::PeerHello& hello, Ms now) {
+  Session& s = session->second;
+  bool known = std::any_of(site_.peers.begin(), site_.peers.end(), [&](const auto& peer) {
+    return peer.first == hello.instance && peer.second.ip == s.address.ip;
+  });
+  if (!known)
+    return refuse(session, RefuseCode::unexpected,
+                  fmt::format("instance {} is no peer of these settings, or not from there", hello.instance),
+                  0, now);
+  s.parser.allow(site_.most_frame);
+  s.state = SessionState::peer;
+  s.id = hello.instance;
+  log(log::Level::info, "peer_connected", {{"instance", std::to_string(hello.instance)}});
+  sessions_.schedule_check(session, timeouts());
+}
+
+void SessionProtocol::handle_acknowledgement(Iterator session,
+                                             const channel::Acknowledgement& acknowledgement, Ms now) {
+  Session& s = session->second;
+  if (acknowledgement.sequence > s.update_sequence)
+    return refuse(
+        session, RefuseCode::unexpected,
+        fmt::format("message {} is confirmed, {} were sent", acknowledgement.sequence, s.update_sequence), 0,
+        now);
+  listener_.messages_acknowledged(ProxyId{s.id}, s.acks.acknowledge(acknowledgement.sequence), now);
+}
+
+void SessionProtocol::handle_load_report(Iterator session, const channel::LoadReportMessage& report, Ms now) {
+  std::size_t class_count = site_.policy.classes.size();
+  for (const channel::DemandReportEntry& entry : report.demand)
+    if (entry.request_class >= class_count)
+      return refuse(session, RefuseCode::unexpected,
+                    fmt::format("a report on class {}, there are {}", entry.request_class, class_count), 0,
+                    now);
+  if (report.sequence <= session->second.report_sequence) return;  // it is counted already
+  session->second.report_sequence = report.sequence;
+  listener_.load_report_received(session->second, report, now);
+}
+
+// ---- What this side does ----
+
+void SessionProtocol::expire_timeouts(Ms now) {
+  for (Iterator session = sessions_.due(now); session != sessions_.end(); session = sessions_.due(now)) {
+    const Session& s = session->second;
+    switch (s.check(timeouts(), now)) {
+      case SessionCheck::handshake_timed_out:
+        refuse(session, RefuseCode::silent, "no hello in time", 0, now);
+        break;
+      case SessionCheck::unresponsive:
+        refuse(session, RefuseCode::silent, fmt::format("no byte for {} ms", now - s.last_received_at), 0,
+               now);
+        break;
+      case SessionCheck::ack_overdue:
+        refuse(session, RefuseCode::silent,
+               fmt::format("message {} is not confirmed after {} ms", s.acks.oldest().sequence,
+                           site_.confirm_within),
+               0, now);
+        break;
+      case SessionCheck::ping_due:
+        send_frame(session, channel::Ping{s.update_sequence}, now);
+        break;
+      case SessionCheck::nothing:
+        sessions_.schedule_check(session, timeouts());
+        break;
+    }
+  }
+}
+
+void SessionProtocol::dial_peers(Ms now) {
+  for (const auto& [instance, address] : site_.peers) {
+    Ms& due = dial_at_.at(instance);
+    if (stopping_ || due > now || sessions_.dialled_peers().contains(instance)) continue;
+    due = now + kRedialInterval;
+    effects_.emplace_back(DialPeer{instance, address});
+  }
+}
+
+void SessionProtocol::site_changed(bool announce, Ms now) {
+  for (Iterator session = sessions_.begin(); session != sessions_.end(); ++session) {
+    Session& s = session->second;
+    if (s.state == SessionState::handshake_pending) continue;
+    s.parser.allow(site_.most_frame);
+    if (announce && s.state == SessionState::proxy) send_welcome(session, now);
+    sessions_.schedule_check(session, timeouts());
+  }
+}
+
+void SessionProtocol::stop(Ms now) {
+  stopping_ = true;
+  while (sessions_.size() > 0) refuse(sessions_.begin(), RefuseCode::stopping, kStoppingReason, 0, now);
+}
+
+void SessionProtocol::send_peer_note(std::uint32_t instance, bool all_peers, const std::string& payload,
+                                     Ms now) {
+  for (const auto& [peer, stream] : sessions_.dialled_peers())
+    if (all_peers || peer == instance) send_frame(sessions_.find(stream), channel::PeerNote{payload}, now);
+}
+
+void SessionProtocol::message_enqueued(Iterator session, UnacknowledgedMessage message) {
+  session->second.acks.add(std::move(message));
+  sessions_.schedule_check(session, timeouts());
+}
+
+bool SessionProtocol::send_message(StreamId stream, std::shared_ptr<const std::string> bytes, Ms now) {
+  Iterator session = sessions_.find(stream);
+  if (session == sessions_.end()) return false;
+  session->second.last_sent_at = now;
+  effects_.emplace_back(SendBytes{stream, std::move(bytes)});
+  return true;
+}
+
+void SessionProtocol::send_frame(Iterator session, const channel::Frame& frame, Ms now) {
+  effects_.emplace_back(
+      SendBytes{session->first, std::make_shared<const std::string>(channel::encode(frame))});
+  session->second.last_sent_at = now;
+  sessions_.schedule_check(session, timeouts());
+}
+
+void SessionProtocol::send_welcome(Iterator session, Ms now) {
+  send_frame(session,
+             channel::Welcome{.epoch = epoch_,
+                              .heartbeat_ms = site_.heartbeat,
+                              .report_period_ms = site_.policy.report_period.count()},
+             now);
+}
+
+void SessionProtocol::refuse(Iterator session, RefuseCode code, const std::string& reason, Ms retry_after,
+                             Ms now) {
+  ++counters_.refused_streams;
+  log(log::Level::warning, "stream_refused",
+      {{"peer", net::to_string(session->second.address)},
+       {"code", std::to_string(static_cast<int>(code))},
+       {"reason", reason}});
+  send_frame(session, channel::Refuse{code, retry_after, reason}, now);
+  effects_.emplace_back(CloseStream{session->first});
+  end(session, reason, now);
+}
+
+void SessionProtocol::end(Iterator session, const std::string& reason, Ms now) {
+  const Session& s = session->second;
+  const SessionState state = s.state;
+  const std::uint32_t id = s.id;
+  if (state == SessionState::proxy) {
+    log(log::Level::info, "proxy_disconnected",
+        {{"proxy", std::to_string(id)}, {"peer", net::to_string(s.address)}, {"reason", reason}});
+  } else if (state == SessionState::peer) {
+    dial_at_[id] = now + kRedialInterval;
+    log(log::Level::info, "peer_disconnected", {{"instance", std::to_string(id)}, {"reason", reason}});
+  }
+  sessions_.erase(session);
+  if (state == SessionState::proxy) listener_.proxy_disconnected(ProxyId{id});
+}
+
+}  // namespace beamshunt::assigner
--- a/src/audit/sabotage.cpp
+++ b/src/audit/sabotage.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-assigner::Between sabotage(std::string_view name, const assigner::Site& site) {
+assigner::MessageInterceptor sabotage(std::string_view name, const assigner::Site& site) {
   if (name == "drain") return no_drains;
   if (name == "twice") return always_again;
   if (name == "cold") {
--- a/src/audit/sabotage.h
+++ b/src/audit/sabotage.h
@@ -10,6 +10,6 @@
 // drain: lines are never taken away. twice: everything is tried again after any failure. cold: what has just
 // started gets all the weight. queue: every message carries thousands of lines. empty: lines that were given
 // are taken away again. Throws std::invalid_argument for another name.
-assigner::Between sabotage(std::string_view name, const assigner::Site& site);
+assigner::MessageInterceptor sabotage(std::string_view name, const assigner::Site& site);
 
 }  // namespace beamshunt::audit
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -100,11 +100,11 @@
 
 int serve(const std::vector<std::string>& files, const std::string& sabotage) {
   if (files.empty()) throw std::runtime_error("no settings are given to serve by");
-  std::function<assigner::Between(const assigner::Site&)> between;
+  std::function<assigner::MessageInterceptor(const assigner::Site&)> interceptor;
   bool no_gate = sabotage == "gate";  // every version that is sound in form is let in
   if (!sabotage.empty() && !no_gate)
-    between = [&](const assigner::Site& site) { return audit::sabotage(sabotage, site); };
-  assigner::serve(read_sources(files), no_gate ? assigner::Gate() : gate::judge, between);
+    interceptor = [&](const assigner::Site& site) { return audit::sabotage(sabotage, site); };
+  assigner::serve(read_sources(files), no_gate ? assigner::Gate() : gate::judge, interceptor);
   return kWell;
 }
 
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -412,9 +412,11 @@
     }
     ++a.life;
     a.watching = a.turn_due = false;
-    assigner::Between between = options_.fixture ? options_.fixture->between : assigner::Between();
-    if (!options_.sabotage.empty()) between = audit::sabotage(options_.sabotage, a.site);
-    a.host = make_host(options_.policy, a.site, ++a.epoch, a.warm, engine_.now(), wall(), std::move(between));
+    assigner::MessageInterceptor interceptor =
+        options_.fixture ? options_.fixture->interceptor : assigner::MessageInterceptor();
+    if (!options_.sabotage.empty()) interceptor = audit::sabotage(options_.sabotage, a.site);
+    a.host =
+        make_host(options_.policy, a.site, ++a.epoch, a.warm, engine_.now(), wall(), std::move(interceptor));
     soon(a);
   }
   void kill_assigner(std::uint32_t instance) override {
@@ -469,10 +471,10 @@
                   [this, i = a.instance, life = a.life, n = ++a.watch] { whole_list(i, life, true, n); });
   }
   void carry_out(AssignerRun& a, assigner::CloseWatch&) { ++a.watch, a.watching = false; }
-  void carry_out(AssignerRun& a, assigner::FetchTheList&) {
+  void carry_out(AssignerRun& a, assigner::FetchList&) {
     engine_.after(kListAnswer, [this, i = a.instance, life = a.life] { whole_list(i, life, false, 0); });
   }
-  void carry_out(AssignerRun& a, assigner::ProbeServer& e) {
+  void carry_out(AssignerRun& a, assigner::SendHealthCheckRequest& e) {
     auto found = by_id_.find(static_cast<std::uint32_t>(e.endpoint));
     auto told = [this, i = a.instance, life = a.life, id = e.endpoint, asked = engine_.now()](
                     AttemptOutcome outcome, LoadReport load) {
--- a/src/emulator/emulator.h
+++ b/src/emulator/emulator.h
@@ -33,7 +33,7 @@
   std::vector<Proxy> proxies;
   assigner::Site site;
   std::string list;  // that the assigner holds, sealed
-  assigner::Between between{};
+  assigner::MessageInterceptor interceptor{};
   Ms channel_delay = 0;                    // each way, besides the hop
   std::optional<assigner::Site> change{};  // what the assigner goes over to, as soon as it may:
   Ms change_at = 0;                        // since the traffic began; only what is asked from then on counts
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -13,9 +13,9 @@
 class CoreHost final : public Host {
  public:
   CoreHost(const assigner::Site& site, std::uint64_t epoch, std::optional<assigner::EndpointBook> warm,
-           Ms now, double wall_now, assigner::Between between)
+           Ms now, double wall_now, assigner::MessageInterceptor interceptor)
       : core_(site, epoch, std::move(warm), now, wall_now) {
-    core_.set_between(std::move(between));
+    core_.set_message_interceptor(std::move(interceptor));
   }
   void stream_opened(StreamId s, net::Address peer, Ms now) override { core_.stream_opened(s, peer, now); }
   void stream_bytes(StreamId s, std::string_view bytes, Ms now) override {
@@ -24,10 +24,12 @@
   void stream_closed(StreamId s, const std::string& why, Ms now) override {
     core_.stream_closed(s, why, now);
   }
-  void list_line(std::string_view json, Ms now, double wall) override { core_.list_line(json, now, wall); }
-  void list_lost(const std::string& reason, Ms now) override { core_.list_lost(reason, now); }
-  void probe_answered(EndpointId e, AttemptOutcome o, Ms took, LoadReport load, Ms now) override {
-    core_.probe_answered(e, o, took, std::move(load), now);
+  void list_line(std::string_view json, Ms now, double wall) override {
+    core_.endpoint_list_received(json, now, wall);
+  }
+  void list_lost(const std::string& reason, Ms) override { core_.endpoint_list_lost(reason); }
+  void probe_answered(EndpointId e, AttemptOutcome o, Ms took, LoadReport load, Ms) override {
+    core_.health_check_completed(e, o, took, std::move(load));
   }
   bool may_reconfigure(const assigner::Site& to, Ms now) const override {
     return core_.may_reconfigure(to, now);
@@ -36,12 +38,12 @@
     core_.reconfigure(to, version, hash, now);
   }
   std::optional<telemetry::Figures> figures(Ms now) override { return core_.figures(now); }
-  void turn(Ms now) override { core_.turn(now); }
+  void turn(Ms now) override { core_.run_once(now); }
   Ms next_due() const override { return core_.next_due(); }
   std::vector<assigner::Effect> take_effects() override { return core_.take_effects(); }
   std::string list_bytes() const override { return core_.list_bytes(); }
-  double waiting_lines() const override { return core_.waiting_lines(); }
-  Ms oldest_report(Ms now) const override { return core_.oldest_report(now); }
+  double waiting_lines() const override { return core_.unacknowledged_lines(); }
+  Ms oldest_report(Ms now) const override { return core_.oldest_report_wait(now); }
 
  private:
   assigner::Core core_;
@@ -195,11 +197,12 @@
 }
 
 std::unique_ptr<Host> make_host(Policy policy, const assigner::Site& site, std::uint64_t epoch,
-                                const std::string& warm, Ms now, double wall_now, assigner::Between between) {
+                                const std::string& warm, Ms now, double wall_now,
+                                assigner::MessageInterceptor interceptor) {
   std::optional<assigner::EndpointBook> held;
   if (!warm.empty()) held = assigner::EndpointBook::from_bytes(warm);
   if (policy == Policy::module || policy == Policy::module_two_choice || policy == Policy::module_least_load)
-    return std::make_unique<CoreHost>(site, epoch, std::move(held), now, wall_now, std::move(between));
+    return std::make_unique<CoreHost>(site, epoch, std::move(held), now, wall_now, std::move(interceptor));
   return std::make_unique<PlainHost>(site, epoch, std::move(held), now, policy == Policy::static_weights);
 }
 
--- a/src/emulator/host.h
+++ b/src/emulator/host.h
@@ -57,6 +57,7 @@
 
 // `warm`: the list as held before, sealed; empty for none.
 std::unique_ptr<Host> make_host(Policy policy, const assigner::Site& site, std::uint64_t epoch,
-                                const std::string& warm, Ms now, double wall_now, assigner::Between between);
+                                const std::string& warm, Ms now, double wall_now,
+                                assigner::MessageInterceptor interceptor);
 
 }  // namespace beamshunt::emulator
--- a/src/gate/shadow.cpp
+++ b/src/gate/shadow.cpp
@@ -80,7 +80,7 @@
   emulator::Fixture f;
   f.site = plain(now), f.change = plain(next), f.change_at = options.settle;
   f.list = held_list(fleet);
-  f.between = options.between, f.out_of_budget = options.out_of_budget;
+  f.interceptor = options.interceptor, f.out_of_budget = options.out_of_budget;
   f.channel_delay = policy.update_delay.count();
 
   auto usual = [](const Fleet::JoinedProxy& p) { return p.usual > 0 ? p.usual : kUsualRate; };
--- a/src/gate/shadow.h
+++ b/src/gate/shadow.h
@@ -27,7 +27,7 @@
   Ms settle = 2000, length = 4000;  // simulated: before the change, after it
   std::uint64_t seed = 1;
   std::function<bool()> out_of_budget = [] { return false; };
-  assigner::Between between{};  // for proofs that the rehearsal's audit sees what is broken
+  assigner::MessageInterceptor interceptor{};  // for proofs that the rehearsal's audit sees what is broken
 };
 
 // The narrow door to the model of servers and proxies, which is the emulator's.
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -1,4 +1,4 @@
-// The assigner's core in simulated time: what every stream, list and order comes to, and every bad input.
+// The assigner's core in simulated time: what every stream, list and update comes to, and every bad input.
 #include "assigner/core.h"
 
 #include <gtest/gtest.h>
@@ -26,13 +26,15 @@
     for (std::uint32_t local : {2u, 4u}) EXPECT_TRUE(lines.contains(local)) << number;
   auto orders = rig.got<channel::UpdateMessage>(p);
   for (std::size_t k = 0; k < orders.size(); ++k) EXPECT_EQ(orders[k].sequence, k + 1);
-  EXPECT_EQ(rig.core.waiting_lines(), 0);
+  EXPECT_EQ(rig.core.unacknowledged_lines(), 0);
   auto* line = std::get_if<channel::WeightUpdate>(&orders[0].updates[1]);
   ASSERT_TRUE(line);
   EXPECT_EQ(line->ip >> 24, 127u);
   EXPECT_EQ(line->port, 8000);
 }
 
+// An endpoint is told to terminate and leaves when its grace is over. A proxy that still has it in a table then
+// sends requests to nobody: every proxy must be rid of it before, and none may be left without endpoints.
 TEST(Core, ADrainReachesEveryProxyWithinItsGrace) {
   Rig rig;
   rig.list(list_line("total", 1, {2, 4, 6}));
@@ -49,6 +51,8 @@
     }
 }
 
+// Whatever can reach the port connects: a port scanner, a web client, an older proxy, a proxy with another site's
+// settings. Each is refused with a reason that names what is wrong, and the proxy that does well notices nothing.
 TEST(Core, StreamsThatSayNothingOrRubbishEndAloneWithOneReason) {
   Rig rig;
   rig.list(list_line("total", 1, {2, 4}));
@@ -81,6 +85,8 @@
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
 
+// A proxy acknowledges a message that it was never sent, or reports on a class that does not exist: the two sides
+// have lost count, and only a new stream brings them together again.
 TEST(Core, AConfirmationOfWhatWasNeverSentEndsTheStream) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -92,6 +98,8 @@
   EXPECT_NE(rig.refusal(q).find("a report on class 9, there are 2"), std::string::npos);
 }
 
+// A proxy's machine loses power, and no packet says so. The stream would stay open for ever and the proxy count
+// as registered: pings are sent, and without a byte for three heartbeats the stream is ended.
 TEST(Core, AHalfOpenStreamIsFoundByItsSilence) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -104,6 +112,8 @@
   EXPECT_EQ(rig.core.proxies(), 0u);
 }
 
+// A proxy answers pings and applies no update. Its messages would hold the channel's lines for ever, and other
+// proxies' updates with them: its stream is ended once the oldest acknowledgement is overdue.
 TEST(Core, AProxyThatLivesAndDoesNotApplyIsCutOff) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -117,6 +127,8 @@
   EXPECT_FALSE(rig.is_closed(good));
 }
 
+// A stranger announces a long frame and sends it slowly, on many streams: before the handshake each may make the
+// assigner hold only what a hello needs.
 TEST(Core, WhoHasNotSaidWhoHeIsGetsLittleMemory) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -134,6 +146,8 @@
   EXPECT_EQ(rig.core.counters().reports, 1u);
 }
 
+// A proxy's network breaks for a moment, and it dials again before the assigner notices that the former stream is
+// dead. The newer stream of the same run takes the place of the older one.
 TEST(Core, TheSameRunDialsAgainAndReplacesItsOldStream) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -147,6 +161,8 @@
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
 
+// A second proxy is started with an id that is in use. If it pushed the first one out, the first would dial again
+// and push it out in turn, for ever. The second is refused while the first lives.
 TEST(Core, ASecondProxyByTheSameNameIsRefusedWhileTheFirstLives) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -162,6 +178,8 @@
   EXPECT_FALSE(rig.is_closed(successor));
 }
 
+// A proxy disconnects while a message to it waits for its turn in the channel. The message is dropped and counted;
+// the others keep their places.
 TEST(Core, MessagesLeaveAtTheChannelsPaceAndAreDroppedWithTheirStream) {
   Rig rig;
   std::vector<std::uint32_t> many;
@@ -181,6 +199,8 @@
   EXPECT_EQ(rig.core.counters().dropped_messages, 1u);
 }
 
+// The discovery service sends a list with one impossible value. Its other values can't be trusted either: the
+// list is rejected as a whole, the log says where it is wrong, and proxies keep the endpoints of the last good one.
 TEST(Core, ABadListIsRefusedAsAWholeAndTheLastGoodOneStays) {
   Rig rig;
   rig.list(list_line("total", 1, {2, 4}));
@@ -194,17 +214,19 @@
         std::string(
             R"({"kind":"total","version":2,"entries":[{"id":6,"locality":"north","cell":0,"size":-1}]})")})
     rig.list(bad);
-  EXPECT_TRUE(rig.logged("list_refused", "not a JSON object"));
-  EXPECT_TRUE(rig.logged("list_refused", "kind is missing"));
-  EXPECT_TRUE(rig.logged("list_refused", "entries[1]: id is given twice"));
-  EXPECT_TRUE(rig.logged("list_refused", "state \"asleep\" is unknown"));
-  EXPECT_TRUE(rig.logged("list_refused", "id is -4"));
-  EXPECT_TRUE(rig.logged("list_refused", "locality \"west\" is unknown"));
-  EXPECT_TRUE(rig.logged("list_refused", "size is -1"));
+  EXPECT_TRUE(rig.logged("endpoint_list_rejected", "not a JSON object"));
+  EXPECT_TRUE(rig.logged("endpoint_list_rejected", "kind is missing"));
+  EXPECT_TRUE(rig.logged("endpoint_list_rejected", "entries[1]: id is given twice"));
+  EXPECT_TRUE(rig.logged("endpoint_list_rejected", "state \"asleep\" is unknown"));
+  EXPECT_TRUE(rig.logged("endpoint_list_rejected", "id is -4"));
+  EXPECT_TRUE(rig.logged("endpoint_list_rejected", "locality \"west\" is unknown"));
+  EXPECT_TRUE(rig.logged("endpoint_list_rejected", "size is -1"));
   rig.live({p}, 2000);
   for (auto& [number, lines] : rig.tables(p)) EXPECT_EQ(lines.size(), 2u);
 }
 
+// The assigner restarts while discovery is down. Proxies that register are served from the list that it held
+// before.
 TEST(Core, AfterARestartTheWarmCopyServesBeforeTheListDoes) {
   std::string saved;
   {
@@ -216,13 +238,15 @@
   ASSERT_FALSE(saved.empty());
   Rig again(EndpointBook::from_bytes(saved), 2);
   StreamId p = again.join(0);
-  again.core.list_lost("refused", again.now);
+  again.core.endpoint_list_lost("refused");
   again.live({p}, 500);
   ASSERT_FALSE(again.tables(p).empty());
   for (auto& [number, lines] : again.tables(p)) EXPECT_EQ(lines.size(), 2u);
   EXPECT_EQ(again.got<channel::Welcome>(p)[0].epoch, 2u);
 }
 
+// Somebody who is not in the settings says that he is a peer, or a peer's instance comes from another address: its
+// notes would reach the controllers, so it is refused.
 TEST(Core, PeersAreDialledAndOnlyKnownOnesAreLetIn) {
   Rig rig;
   rig.turn();
@@ -241,6 +265,8 @@
   EXPECT_TRUE(rig.is_closed(unknown));
 }
 
+// More clients connect than the settings allow, as after a broken deployment: those beyond the limit are refused,
+// and those there stay.
 TEST(Core, MoreStreamsThanAllowedAreTurnedAway) {
   Rig rig;
   std::vector<StreamId> all;
@@ -250,6 +276,7 @@
   EXPECT_TRUE(rig.is_closed(all[51]));
 }
 
+// The assigner is stopped. Each proxy is told so, and dials another assigner without waiting for a time-out.
 TEST(Core, StoppingTellsEveryStream) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -262,8 +289,9 @@
   EXPECT_TRUE(rig.is_closed(late));
 }
 
-// Seeded faults for simulated minutes: joins, silence, breaks, rubbish, lists that come, drain and are lost.
-// Whatever happens, orders come in sequence, the queue keeps its limit, and once it is calm all are served.
+// Seeded faults for simulated minutes: proxies register, fall silent, break off and send rubbish; lists come,
+// drain endpoints and are lost. Whatever happens, updates come in sequence, the queue keeps its limit, and once it
+// is calm all proxies are served.
 TEST(Core, KeepsItsWordThroughSeededFaults) {
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
     Rig rig;
@@ -292,7 +320,7 @@
               list_line("changes", ++version, {2 + 2 * draw(3)}, draw(2) ? "terminating" : "in_service"));
           break;
         case 4:
-          rig.core.list_lost("gone", rig.now), rig.turn();
+          rig.core.endpoint_list_lost("gone"), rig.turn();
           break;
         case 5:
           rig.list(list_line("total", ++version, {2, 4, 6, 8}));
@@ -310,7 +338,7 @@
       }
       for (auto& [id, stream] : streams)
         if (rig.is_closed(stream)) rejoin(id);
-      ASSERT_LE(rig.core.waiting_lines(), rig.site.policy.max_queued_lines) << "seed " << seed;
+      ASSERT_LE(rig.core.unacknowledged_lines(), rig.site.policy.max_queued_lines) << "seed " << seed;
     }
     rig.list(list_line("total", ++version, {2, 4, 6, 8}));
     std::vector<StreamId> all;
--- a/tests/assigner/parts_test.cpp
+++ b/tests/assigner/parts_test.cpp
@@ -1,8 +1,8 @@
 // The parts of an assigner by themselves: settings, the list's book, the intake of reports.
 #include <gtest/gtest.h>
 
-#include "assigner/intake.h"
 #include "assigner/list_feed.h"
+#include "assigner/report_intake.h"
 #include "assigner/rig.h"
 
 namespace beamshunt::assigner::test {
@@ -90,14 +90,14 @@
   EXPECT_TRUE(book.find(5));  // still known by address: a drain may have to name it
 }
 
-TEST(Intake, SumsByPairAndGivesTheLongestWaitingFirstAtItsPace) {
-  Intake intake(10);
+TEST(ReportIntake, SumsByPairAndGivesTheLongestWaitingFirstAtItsPace) {
+  ReportIntake intake(10);
   intake.release(0);
   for (int report = 0; report < 3; ++report)
     for (std::uint32_t e = 1; e <= 8; ++e)
-      intake.heard(Locality{0}, {e, 10, 2, 20.0 + report, {{"utilization", 0.1 * report}}}, report * 100.0,
-                   report * 100.0 + 100);
-  intake.used(ProxyId{1}, {0, 5, 1}, 0, 100);
+      intake.add_endpoint_report(Locality{0}, {e, 10, 2, 20.0 + report, {{"utilization", 0.1 * report}}},
+                                 report * 100.0, report * 100.0 + 100);
+  intake.add_demand_report(ProxyId{1}, {0, 5, 1}, 0, 100);
   EXPECT_EQ(intake.waiting(), 9u);
   auto first = intake.release(500);
   ASSERT_EQ(first.size(), 5u);
@@ -114,14 +114,14 @@
   EXPECT_EQ(intake.waiting(), 0u);
 }
 
-TEST(Intake, AnIdlePaceIsNotSavedUpForMoreThanASecond) {
-  Intake intake(10);
+TEST(ReportIntake, AnIdlePaceIsNotSavedUpForMoreThanASecond) {
+  ReportIntake intake(10);
   intake.release(0);
   intake.release(60000);
-  for (std::uint32_t e = 1; e <= 100; ++e) intake.heard(Locality{0}, {e, 1, 0, 20, {}}, 0, 100);
+  for (std::uint32_t e = 1; e <= 100; ++e) intake.add_endpoint_report(Locality{0}, {e, 1, 0, 20, {}}, 0, 100);
   EXPECT_EQ(intake.release(60000).size(), 10u);
-  intake.used(ProxyId{1}, {0, 5, 1}, 0, 100);
-  intake.forget(ProxyId{1});
+  intake.add_demand_report(ProxyId{1}, {0, 5, 1}, 0, 100);
+  intake.forget_proxy(ProxyId{1});
   EXPECT_EQ(intake.waiting(), 90u);
 }
 
--- a/tests/assigner/rig.h
+++ b/tests/assigner/rig.h
@@ -60,7 +60,7 @@
       : core(site, epoch, std::move(warm), now, 5e11 + now) {}
 
   void turn() {
-    core.turn(now);
+    core.run_once(now);
     for (Effect& e : core.take_effects()) {
       if (auto* send = std::get_if<SendBytes>(&e))
         parsers[send->stream].feed(*send->bytes, inbox[send->stream]);
@@ -100,7 +100,7 @@
     return id;
   }
   void list(const std::string& line) {
-    core.list_line(line, now, 5e11 + now);
+    core.endpoint_list_received(line, now, 5e11 + now);
     turn();
   }
   template <typename T>
--- a/tests/assigner/streamed_test.cpp
+++ b/tests/assigner/streamed_test.cpp
@@ -133,7 +133,7 @@
     rig.list(list_line("total", 1, {2, 4, 5}));
     rig.live({rig.join(0)}, 300);
     rig.core.reconfigure(next, 2, 99, rig.now);
-    EXPECT_EQ(rig.core.taking_over(), takes_effect(path) == TakesEffect::fresh_module) << path;
+    EXPECT_EQ(rig.core.handover_in_progress(), takes_effect(path) == TakesEffect::fresh_module) << path;
     EXPECT_TRUE(rig.core.take_effects().size() > 0);
   }
 }
@@ -193,8 +193,8 @@
   begin(6);
   rig.core.reconfigure(changed("site: guarantees: warm_up: 5s"), 2, 99, rig.now);
   go(4000);
-  EXPECT_FALSE(rig.core.taking_over());
-  EXPECT_TRUE(rig.logged("module_taken_over"));
+  EXPECT_FALSE(rig.core.handover_in_progress());
+  EXPECT_TRUE(rig.logged("controller_replaced"));
   for (StreamId id : streams) {
     EXPECT_FALSE(held[id].ever_empty);
     EXPECT_FALSE(rig.is_closed(id)) << rig.refusal(id);
@@ -213,7 +213,7 @@
   std::string slow = "site: {proxies: 12, channel: {lines_per_s: 80/s, most_waiting_lines: 200}}";
   rig.core.reconfigure(changed(slow), 2, 99, rig.now);
   go(150);
-  ASSERT_TRUE(rig.core.taking_over());
+  ASSERT_TRUE(rig.core.handover_in_progress());
   std::size_t former = 0;
   for (StreamId id : streams)
     for (auto& [c, table] : held[id].of_class) former += table < 1u << 16;
@@ -222,7 +222,7 @@
   go(9000);
   for (StreamId id : streams) EXPECT_FALSE(held[id].has(2));
   for (StreamId id : streams) EXPECT_FALSE(held[id].ever_empty);
-  EXPECT_FALSE(rig.core.taking_over());
+  EXPECT_FALSE(rig.core.handover_in_progress());
   EXPECT_TRUE(record::replay(rig.record).same());
 }
 
@@ -237,7 +237,7 @@
     if (rig.core.may_reconfigure(next, rig.now)) rig.core.reconfigure(next, 3, 99, rig.now), ++times_taken;
     for (int step = 0; step < 6; ++step) {
       go(50);
-      EXPECT_LE(rig.core.waiting_lines(), 2000);
+      EXPECT_LE(rig.core.unacknowledged_lines(), 2000);
     }
   }
   go(3000);
@@ -251,7 +251,7 @@
       EXPECT_GT(times[k] - times[k - 6], 3000) << "message " << k << " of proxy stream";
     EXPECT_FALSE(held[id].ever_empty);
   }
-  EXPECT_FALSE(rig.core.taking_over());
+  EXPECT_FALSE(rig.core.handover_in_progress());
 }
 
 TEST_F(Takeover, ProxiesThatComeGoOrReturnMeanwhileFindTheirPlace) {
@@ -264,7 +264,7 @@
   streams.push_back(rig.join(20));
   streams.push_back(rig.join(7, 1, 2));
   go(8000);
-  EXPECT_FALSE(rig.core.taking_over());
+  EXPECT_FALSE(rig.core.handover_in_progress());
   for (StreamId id : streams) {
     EXPECT_FALSE(rig.is_closed(id)) << rig.refusal(id);
     EXPECT_TRUE(held[id].has(4));
--- a/tests/gate/gate_test.cpp
+++ b/tests/gate/gate_test.cpp
@@ -164,7 +164,7 @@
   for (auto& [name, rule] :
        {std::pair{"drain", Rule::drain}, {"empty", Rule::empty}, {"queue", Rule::queue}}) {
     ShadowOptions options;
-    options.between = audit::sabotage(name, present());
+    options.interceptor = audit::sabotage(name, present());
     Rehearsal r = rehearse(present(), present(), fleet_of(test::Fleet::warm), options);
     EXPECT_TRUE(r.verdict.broke(rule)) << name;
   }
--- a/tests/process_test.sh
+++ b/tests/process_test.sh
@@ -44,7 +44,7 @@
 expect 2 'held by another process' "$program" serve "$work/site.cue"
 "$program" standin proxy --address 127.211.1.1:9000 --id 3 --assigner 127.211.0.1:7000 \
   --localities north south --prefix 127.211.0.0/16 127.212.0.0/16 --locality north & pids+=($!)
-wait_for '"event":"proxy_joined","proxy":"3"' "$work/log"
+wait_for '"event":"proxy_registered","proxy":"3"' "$work/log"
 wait_until "no warm copy of the list" test -s "$work/state/list"
 
 # Killed at any instant, it comes up with its last list, a higher epoch and a record that can go on.
@@ -53,7 +53,7 @@
   "$program" serve "$work/site.cue" "$work/log.cue" "$work/record.cue" & assigner=$!; pids+=($assigner)
   sleep 0.$((round * 2 + 2))
 done
-wait_for '"event":"proxy_joined","proxy":"3"' "$work/log"
+wait_for '"event":"proxy_registered","proxy":"3"' "$work/log"
 kill -9 $assigner; wait $assigner 2>/dev/null
 expect 0 'the module decides the same' "$program" replay "$work/record"
 grep -q '4 runs' "$work/out" || fail "not four runs: $(cat "$work/out")"
@@ -64,7 +64,7 @@
 "$program" serve "$work/site.cue" "$work/log.cue" "$work/record.cue" & assigner=$!; pids+=($assigner)
 wait_for '"event":"serving"' "$work/log"
 for event in record_cut warm_list_refused epoch_refused; do wait_for "\"event\":\"$event\"" "$work/log"; done
-wait_for '"event":"proxy_joined","proxy":"3"' "$work/log"
+wait_for '"event":"proxy_registered","proxy":"3"' "$work/log"
 # SIGTERM: the streams are told, the end is in order.
 kill -TERM $assigner; wait $assigner; code=$?
 [ $code = 0 ] || fail "SIGTERM ended with $code"
