--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -18,7 +18,7 @@
 #include "base/worker.h"
 #include "http/numbers.h"
 #include "http/server.h"
-#include "probe/outcome.h"
+#include "health_check/http_outcome.h"
 
 namespace beamshunt::assigner {
 
@@ -227,7 +227,7 @@
     Ms asked = reactor_.now();
     client_.ask(e.address, http::request("GET", "/probe"), site_.probe_timeout,
                 [this, asked, endpoint = e.endpoint](http::Client::Answer&& answer) {
-                  core_.health_check_completed(endpoint, probe::outcome_of(answer), reactor_.now() - asked,
+                  core_.health_check_completed(endpoint, health_check::outcome_of(answer), reactor_.now() - asked,
                                                http::parse_numbers(answer.message.body));
                   soon();
                 });
