--- a/src/assigner/session_protocol.cpp
+++ b/src/assigner/session_protocol.cpp
@@ -38,7 +38,7 @@
 // ---- What happens on streams ----
 
 void SessionProtocol::opened(StreamId stream, net::Address peer, Ms now) {
-  Iterator session = sessions_.open(stream, now);
+  auto session = sessions_.open(stream, now);
   session->second.address = peer;
   session->second.parser = channel::FrameParser(kMaxHandshakeFrameBytes);
   sessions_.schedule_check(session, timeouts());
@@ -52,14 +52,14 @@
 }
 
 void SessionProtocol::peer_dialled(StreamId stream, std::uint32_t instance, Ms now) {
-  Iterator session = sessions_.open(stream, now);
+  auto session = sessions_.open(stream, now);
   session->second.parser = channel::FrameParser(site_.most_frame);
   sessions_.register_dialled_peer(session, instance);
   send_frame(session, channel::PeerHello{.instance = site_.instance}, now);
 }
 
 void SessionProtocol::bytes_received(StreamId stream, std::string_view bytes, Ms now) {
-  Iterator session = sessions_.find(stream);
+  auto session = sessions_.find(stream);
   if (session == sessions_.end()) return;
   session->second.last_received_at = now;
   session->second.parser.push(bytes);
@@ -76,7 +76,7 @@
 }
 
 void SessionProtocol::closed(StreamId stream, const std::string& reason, Ms now) {
-  Iterator session = sessions_.find(stream);
+  auto session = sessions_.find(stream);
   if (session == sessions_.end()) return;
   ++counters_.broken_streams;
   end(session, reason, now);
@@ -156,7 +156,7 @@
   const std::string& name = site_.policy.localities[*locality];
   if (hello.locality != name)
     return refuse(session, RefuseCode::bad_locality,
-                  fmt::format("proxy {} says it is in \"{}\", its address is in \"{}\"", hello.proxy,
+                  fmt::format(R"(proxy {} says it is in "{}", its address is in "{}")", hello.proxy,
                               hello.locality, name),
                   0, now);
   if (!replace_former_session(session, hello, now)) return;
@@ -172,7 +172,7 @@
 }
 
 bool SessionProtocol::replace_former_session(Iterator session, const channel::Hello& hello, Ms now) {
-  Iterator former = sessions_.find_proxy(ProxyId{hello.proxy});
+  auto former = sessions_.find_proxy(ProxyId{hello.proxy});
   if (former == sessions_.end()) return true;
   const Session& f = former->second;
   // The same run of the proxy has dialled again: the former stream is half open. Another run with the same id
@@ -232,7 +232,7 @@
 // ---- What this side does ----
 
 void SessionProtocol::expire_timeouts(Ms now) {
-  for (Iterator session = sessions_.due(now); session != sessions_.end(); session = sessions_.due(now)) {
+  for (auto session = sessions_.due(now); session != sessions_.end(); session = sessions_.due(now)) {
     const Session& s = session->second;
     switch (s.check(timeouts(), now)) {
       case SessionCheck::handshake_timed_out:
@@ -268,7 +268,7 @@
 }
 
 void SessionProtocol::site_changed(bool announce, Ms now) {
-  for (Iterator session = sessions_.begin(); session != sessions_.end(); ++session) {
+  for (auto session = sessions_.begin(); session != sessions_.end(); ++session) {
     Session& s = session->second;
     if (s.state == SessionState::handshake_pending) continue;
     s.parser.allow(site_.most_frame);
@@ -294,7 +294,7 @@
 }
 
 bool SessionProtocol::send_message(StreamId stream, std::shared_ptr<const std::string> bytes, Ms now) {
-  Iterator session = sessions_.find(stream);
+  auto session = sessions_.find(stream);
   if (session == sessions_.end()) return false;
   session->second.last_sent_at = now;
   effects_.emplace_back(SendBytes{stream, std::move(bytes)});
--- a/src/assigner/update_writer.h
+++ b/src/assigner/update_writer.h
@@ -4,6 +4,7 @@
 
 #include <cstdint>
 #include <map>
+#include <utility>
 #include <vector>
 
 #include "assigner/list_feed.h"
@@ -25,7 +26,7 @@
  public:
   using Messages = std::map<ProxyId, std::vector<channel::Update>>;
 
-  void write(ProxyId proxy, channel::Update update) { messages_[proxy].push_back(std::move(update)); }
+  void write(ProxyId proxy, const channel::Update& update) { messages_[proxy].push_back(update); }
   // To the proxies that are written to anyway, and, with `all_proxies`, to each registered one.
   void request_acks(std::uint32_t sequence_number, bool all_proxies, const SessionTable& sessions);
   void discard(ProxyId proxy) { messages_.erase(proxy); }
--- a/src/channel/frames.cpp
+++ b/src/channel/frames.cpp
@@ -98,7 +98,8 @@
   return nullptr;
 }
 const char* fault(const LoadReportMessage& x) {
-  if (!(x.interval_ms >= 0 && x.interval_ms <= kMaxReportIntervalMs)) return "a span below 0 or over an hour";
+  const bool in_range = x.interval_ms >= 0 && x.interval_ms <= kMaxReportIntervalMs;  // false for NaN
+  if (!in_range) return "a span below 0 or over an hour";
   for (const EndpointReportEntry& entry : x.endpoints) {
     if (entry.failed > entry.attempts) return "more failed tries than tries";
     if (!sane(entry.mean_latency_ms)) return "a latency below 0 or not finite";
@@ -186,7 +187,7 @@
   base::Decoder payload(piece->payload);
   try {
     if (is_opening(piece->kind - 1)) check_version(payload, piece->offset);
-    Frame frame = decode_kind<Frame>(piece->kind, payload);
+    auto frame = decode_kind<Frame>(piece->kind, payload);
     if (const char* reason = std::visit([](const auto& f) { return fault(f); }, frame)) payload.fail(reason);
     framing_.take(*piece);
     return frame;
--- a/src/channel/frames.h
+++ b/src/channel/frames.h
@@ -27,7 +27,7 @@
 constexpr std::size_t kMaxPeerNoteBytes = 256;  // a note is gossip between controllers, not a transfer
 constexpr std::size_t kHeaderBytes = 5;         // length of what follows (4), kind (1)
 // Of a payload, unless the receiver's settings say less: no peer may make the receiver buffer more.
-constexpr std::size_t kMaxFrameBytes = 4 * 1048576;
+constexpr std::size_t kMaxFrameBytes = std::size_t{4} * 1048576;
 
 // ---- Handshake ----
 // Proxy to assigner, the first frame of a stream.
