--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -16,9 +16,9 @@
 #include "base/file.h"
 #include "base/parse.h"
 #include "base/worker.h"
+#include "health_check/http_outcome.h"
 #include "http/numbers.h"
 #include "http/server.h"
-#include "health_check/http_outcome.h"
 
 namespace beamshunt::assigner {
 
@@ -227,7 +227,8 @@
     Ms asked = reactor_.now();
     client_.ask(e.address, http::request("GET", "/probe"), site_.probe_timeout,
                 [this, asked, endpoint = e.endpoint](http::Client::Answer&& answer) {
-                  core_.health_check_completed(endpoint, health_check::outcome_of(answer), reactor_.now() - asked,
+                  core_.health_check_completed(endpoint, health_check::outcome_of(answer),
+                                               reactor_.now() - asked,
                                                http::parse_numbers(answer.message.body));
                   soon();
                 });
