--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -48,7 +48,7 @@
 class Service final : private ConfigurationHost {
  public:
   Service(const std::vector<config::Source>& files, StartupConfiguration& startup,
-          ConfigurationValidator validator, Between between);
+          ConfigurationValidator validator, MessageInterceptor interceptor);
 
   void run();
 
@@ -67,8 +67,8 @@
   void execute(DialPeer& effect);
   void execute(OpenWatch& effect);
   void execute(CloseWatch& effect);
-  void execute(FetchTheList& effect);
-  void execute(ProbeServer& effect);
+  void execute(FetchList& effect);
+  void execute(SendHealthCheckRequest& effect);
   void execute(SaveList& effect);
   void execute(AppendRecord& effect);
   void execute(LogLine& effect);
@@ -118,7 +118,7 @@
 };
 
 Service::Service(const std::vector<config::Source>& files, StartupConfiguration& startup,
-                 ConfigurationValidator validator, Between between)
+                 ConfigurationValidator validator, MessageInterceptor interceptor)
     : settings_(std::move(startup.settings)),
       log_(settings_.log_file, log_level_of(settings_.log_level)),
       state_(settings_.state_folder),
@@ -130,7 +130,7 @@
       record_(reactor_, disk_, log_, settings_.record_file),
       list_writer_(reactor_, disk_, state_, log_, [this] { return core_.list_bytes(); }),
       disk_(kMaxDiskBytes) {
-  core_.set_between(std::move(between));
+  core_.set_message_interceptor(std::move(interceptor));
   listener_ = std::make_unique<net::Listener>(
       reactor_, settings_.channel, [this](auto connection) { accept(std::move(connection)); },
       net::ConnectionOptions{.most_unsent = settings_.most_unsent});
@@ -162,7 +162,7 @@
 
 void Service::run_core() {
   run_scheduled_ = false;
-  core_.turn(reactor_.now());
+  core_.run_once(reactor_.now());
   for (Effect& effect : core_.take_effects()) std::visit([this](auto& one) { execute(one); }, effect);
   if (timer_) reactor_.cancel(*timer_);
   timer_ = reactor_.at(core_.next_due(), [this] {
@@ -219,28 +219,28 @@
 // ---- The endpoint list ----
 
 DiscoveryConnection::Events Service::discovery_events() {
-  return {[this](std::string_view line) { core_.list_line(line, reactor_.now(), base::wall_ms()); },
-          [this] { core_.list_beat(reactor_.now()); },
-          [this](const std::string& reason) { core_.list_lost(reason, reactor_.now()); },
-          [this] { schedule_run(); }};
+  return {
+      [this](std::string_view line) { core_.endpoint_list_received(line, reactor_.now(), base::wall_ms()); },
+      [this] { core_.watch_heartbeat_received(reactor_.now()); },
+      [this](const std::string& reason) { core_.endpoint_list_lost(reason); }, [this] { schedule_run(); }};
 }
 
 void Service::execute(OpenWatch&) { discovery_.open_watch(settings_.list_quiet); }
 
 void Service::execute(CloseWatch&) { discovery_.close_watch(); }
 
-void Service::execute(FetchTheList&) { discovery_.fetch(settings_.list_quiet); }
+void Service::execute(FetchList&) { discovery_.fetch(settings_.list_quiet); }
 
 void Service::execute(SaveList&) { list_writer_.list_changed(); }
 
 // ---- Health checks, the flight record, the log ----
 
-void Service::execute(ProbeServer& effect) {
+void Service::execute(SendHealthCheckRequest& effect) {
   Ms sent = reactor_.now();
   client_.ask(effect.address, http::request("GET", "/probe"), settings_.probe_timeout,
               [this, sent, endpoint = effect.endpoint](http::Client::Answer&& answer) {
-                core_.probe_answered(endpoint, health_check::outcome_of(answer), reactor_.now() - sent,
-                                     http::parse_numbers(answer.message.body), reactor_.now());
+                core_.health_check_completed(endpoint, health_check::outcome_of(answer),
+                                             reactor_.now() - sent, http::parse_numbers(answer.message.body));
                 schedule_run();
               });
 }
@@ -313,10 +313,10 @@
 }  // namespace
 
 void serve(const std::vector<config::Source>& files, ConfigurationValidator validator,
-           const std::function<Between(const AssignerSettings&)>& between) {
+           const std::function<MessageInterceptor(const AssignerSettings&)>& between) {
   StartupConfiguration startup = load_startup_configuration(files);
   net::Reactor::block_signals({SIGTERM, SIGINT});
-  Between interceptor = between ? between(startup.settings) : nullptr;
+  MessageInterceptor interceptor = between ? between(startup.settings) : nullptr;
   Service(files, startup, std::move(validator), std::move(interceptor)).run();
 }
 
--- a/src/assigner/service.h
+++ b/src/assigner/service.h
@@ -15,6 +15,6 @@
 // can't start: no settings that are sound, a port in use, a state folder that another process holds or that
 // can't be written.
 void serve(const std::vector<config::Source>& files, ConfigurationValidator validator = nullptr,
-           const std::function<Between(const AssignerSettings&)>& between = nullptr);
+           const std::function<MessageInterceptor(const AssignerSettings&)>& between = nullptr);
 
 }  // namespace beamshunt::assigner
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -102,11 +102,12 @@
 
 int serve(const std::vector<std::string>& files, const std::string& sabotage) {
   if (files.empty()) throw std::runtime_error("no settings are given to serve by");
-  std::function<assigner::Between(const assigner::AssignerSettings&)> between;
+  std::function<assigner::MessageInterceptor(const assigner::AssignerSettings&)> interceptor;
   bool no_gate = sabotage == "gate";  // every version that is sound in form is let in
   if (!sabotage.empty() && !no_gate)
-    between = [&](const assigner::AssignerSettings& site) { return audit::sabotage(sabotage, site); };
-  assigner::serve(read_sources(files), no_gate ? assigner::ConfigurationValidator() : gate::judge, between);
+    interceptor = [&](const assigner::AssignerSettings& site) { return audit::sabotage(sabotage, site); };
+  assigner::serve(read_sources(files), no_gate ? assigner::ConfigurationValidator() : gate::judge,
+                  interceptor);
   return kWell;
 }
 
--- a/src/day/day.cpp
+++ b/src/day/day.cpp
@@ -97,7 +97,7 @@
   explicit Reader(const Tree& tree) : tree_(tree) {}
 
   Day read() {
-    read_site();
+    read_site_settings();
     day_.name = tree_.string("name"), day_.about = tree_.string("about");
     day_.seed = static_cast<std::uint64_t>(tree_.whole("seed"));
     day_.length = tree_.real("length"), day_.calm = tree_.real("calm");
@@ -135,7 +135,7 @@
     return static_cast<std::size_t>(found - class_names_.begin());
   }
 
-  void read_site() {
+  void read_site_settings() {
     day_.site = tree_.at("site");
     assigner::AssignerSettings site;  // as an assigner will read it
     assigner::read_site_settings(day_.site, site);
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -413,9 +413,11 @@
     }
     ++a.life;
     a.watching = a.turn_due = false;
-    assigner::Between between = options_.fixture ? options_.fixture->between : assigner::Between();
-    if (!options_.sabotage.empty()) between = audit::sabotage(options_.sabotage, a.site);
-    a.host = make_host(options_.policy, a.site, ++a.epoch, a.warm, engine_.now(), wall(), std::move(between));
+    assigner::MessageInterceptor interceptor =
+        options_.fixture ? options_.fixture->interceptor : assigner::MessageInterceptor();
+    if (!options_.sabotage.empty()) interceptor = audit::sabotage(options_.sabotage, a.site);
+    a.host =
+        make_host(options_.policy, a.site, ++a.epoch, a.warm, engine_.now(), wall(), std::move(interceptor));
     soon(a);
   }
   void kill_assigner(std::uint32_t instance) override {
@@ -470,10 +472,10 @@
                   [this, i = a.instance, life = a.life, n = ++a.watch] { whole_list(i, life, true, n); });
   }
   void carry_out(AssignerRun& a, assigner::CloseWatch&) { ++a.watch, a.watching = false; }
-  void carry_out(AssignerRun& a, assigner::FetchTheList&) {
+  void carry_out(AssignerRun& a, assigner::FetchList&) {
     engine_.after(kListAnswer, [this, i = a.instance, life = a.life] { whole_list(i, life, false, 0); });
   }
-  void carry_out(AssignerRun& a, assigner::ProbeServer& e) {
+  void carry_out(AssignerRun& a, assigner::SendHealthCheckRequest& e) {
     auto found = by_id_.find(static_cast<std::uint32_t>(e.endpoint));
     auto told = [this, i = a.instance, life = a.life, id = e.endpoint, asked = engine_.now()](
                     AttemptOutcome outcome, LoadReport load) {
@@ -567,8 +569,8 @@
                              .incarnation = x.incarnation,
                              .attempt = x.attempt,
                              .locality = x.model->spec().locality_name,
-                             .usual_rate = x.rate,
-                             .only_standing = x.model->only_standing(),
+                             .expected_rate = x.rate,
+                             .only_static_tables = x.model->only_standing(),
                              .held_epoch = x.epoch,
                              .held_sequence = x.applied});
     });
@@ -651,12 +653,12 @@
         if (p.joined) continue;
         p.epoch = welcome->epoch, p.applied = 0, p.joined = true;
         note(StreamUp{p.number, chosen(p).instance});
-      } else if (auto* orders = std::get_if<channel::Orders>(&f)) {
+      } else if (auto* orders = std::get_if<channel::UpdateMessage>(&f)) {
         p.model->apply(*orders);
         p.applied = orders->sequence;
         note(OrdersCame{p.number, *orders});
         p.model->take_left();
-        send(k, channel::Applied{orders->sequence});
+        send(k, channel::Acknowledgement{orders->sequence});
       } else if (auto* ping = std::get_if<channel::Ping>(&f)) {
         send(k, channel::Pong{ping->token});
       } else if (auto* refuse = std::get_if<channel::Refuse>(&f)) {
@@ -672,7 +674,7 @@
     ProxyRun& p = proxies_[k];
     if (p.life != life) return;
     Ms now = engine_.now();
-    if (p.open && now - p.heard > channel::kSilentBeats * p.heartbeat) redial(k);
+    if (p.open && now - p.heard > channel::kHeartbeatsUntilDead * p.heartbeat) redial(k);
     else if (p.joined && now - p.sent >= p.heartbeat) send(k, channel::Ping{p.applied});
     engine_.after(p.heartbeat / 2, [this, k, life] { beat(k, life); });
   }
@@ -680,7 +682,7 @@
     ProxyRun& p = proxies_[k];
     if (p.life != life) return;
     if (p.joined) {
-      channel::Report due = p.model->report(engine_.now());
+      channel::LoadReportMessage due = p.model->report(engine_.now());
       if (reporting_.late > 0)
         engine_.after(reporting_.late, [this, k, life, number = p.stream_number, due] {
           const ProxyRun& x = proxies_[k];
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -16,9 +16,10 @@
 class CoreHost final : public Host {
  public:
   CoreHost(const assigner::AssignerSettings& site, std::uint64_t epoch,
-           std::optional<assigner::EndpointCatalog> warm, Ms now, double wall_now, assigner::Between between)
+           std::optional<assigner::EndpointCatalog> warm, Ms now, double wall_now,
+           assigner::MessageInterceptor interceptor)
       : core_(site, epoch, std::move(warm), now, wall_now) {
-    core_.set_between(std::move(between));
+    core_.set_message_interceptor(std::move(interceptor));
   }
   void stream_opened(StreamId s, net::Address peer, Ms now) override { core_.stream_opened(s, peer, now); }
   void stream_bytes(StreamId s, std::string_view bytes, Ms now) override {
@@ -27,10 +28,12 @@
   void stream_closed(StreamId s, const std::string& why, Ms now) override {
     core_.stream_closed(s, why, now);
   }
-  void list_line(std::string_view json, Ms now, double wall) override { core_.list_line(json, now, wall); }
-  void list_lost(const std::string& reason, Ms now) override { core_.list_lost(reason, now); }
-  void probe_answered(EndpointId e, AttemptOutcome o, Ms took, LoadReport load, Ms now) override {
-    core_.probe_answered(e, o, took, std::move(load), now);
+  void list_line(std::string_view json, Ms now, double wall) override {
+    core_.endpoint_list_received(json, now, wall);
+  }
+  void list_lost(const std::string& reason, Ms) override { core_.endpoint_list_lost(reason); }
+  void probe_answered(EndpointId e, AttemptOutcome o, Ms took, LoadReport load, Ms) override {
+    core_.health_check_completed(e, o, took, std::move(load));
   }
   bool may_reconfigure(const assigner::AssignerSettings& to, Ms now) const override {
     return core_.may_reconfigure(to, now);
@@ -40,12 +43,12 @@
     core_.reconfigure(to, version, hash, now);
   }
   std::optional<telemetry::AssignerMetrics> figures(Ms now) override { return core_.figures(now); }
-  void turn(Ms now) override { core_.turn(now); }
+  void turn(Ms now) override { core_.run_once(now); }
   Ms next_due() const override { return core_.next_due(); }
   std::vector<assigner::Effect> take_effects() override { return core_.take_effects(); }
   std::string list_bytes() const override { return core_.list_bytes(); }
-  double waiting_lines() const override { return core_.waiting_lines(); }
-  Ms oldest_report(Ms now) const override { return core_.oldest_report(now); }
+  double waiting_lines() const override { return core_.unacknowledged_lines(); }
+  Ms oldest_report(Ms now) const override { return core_.oldest_report_wait(now); }
 
  private:
   assigner::Core core_;
@@ -116,9 +119,9 @@
     send(id, channel::Welcome{.epoch = epoch_,
                               .heartbeat_ms = site_.heartbeat,
                               .report_period_ms = site_.policy.report_period.count()});
-    std::vector<channel::Order> orders;
+    std::vector<channel::Update> orders;
     for (std::uint32_t t : {0u, 1u})
-      if (classes_[t] != 0) orders.push_back(channel::BindOrder{classes_[t], t});
+      if (classes_[t] != 0) orders.push_back(channel::AssignTableUpdate{classes_[t], t});
     tell(id, s, now, std::move(orders));
   }
   Lines wanted(std::uint32_t locality, bool home) const {
@@ -131,24 +134,24 @@
     }
     return home || !here.empty() ? here : all;
   }
-  void tell(StreamId id, Stream& s, Ms now, std::vector<channel::Order> orders) {
+  void tell(StreamId id, Stream& s, Ms now, std::vector<channel::Update> orders) {
     for (std::uint32_t t : {0u, 1u}) {
       if (classes_[t] == 0) continue;
       Lines want = wanted(s.locality, t == 1);
       for (auto& [endpoint, weight] : s.sent[t])
-        if (!want.contains(endpoint)) orders.push_back(channel::LineOrder{t, endpoint, 0});
+        if (!want.contains(endpoint)) orders.push_back(channel::WeightUpdate{t, endpoint, 0});
       for (auto& [endpoint, weight] : want) {
         auto had = s.sent[t].find(endpoint);
         if (had != s.sent[t].end() && had->second == weight) continue;
         const assigner::EndpointListEntry& e = *book_.find(endpoint);
-        orders.push_back(channel::LineOrder{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
-                                            e.cell, e.address.ip, e.address.port});
+        orders.push_back(channel::WeightUpdate{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
+                                               e.cell, e.address.ip, e.address.port});
       }
       s.sent[t] = std::move(want);
     }
     if (orders.empty()) return;
     auto lines = static_cast<double>(orders.size());
-    send(id, channel::Orders{++s.sequence, now, lines, std::move(orders)});
+    send(id, channel::UpdateMessage{++s.sequence, now, lines, std::move(orders)});
   }
 
   const assigner::AssignerSettings& site_;
@@ -199,11 +202,12 @@
 }
 
 std::unique_ptr<Host> make_host(Policy policy, const assigner::AssignerSettings& site, std::uint64_t epoch,
-                                const std::string& warm, Ms now, double wall_now, assigner::Between between) {
+                                const std::string& warm, Ms now, double wall_now,
+                                assigner::MessageInterceptor interceptor) {
   std::optional<assigner::EndpointCatalog> held;
   if (!warm.empty()) held = assigner::decode_cached_list(warm);
   if (policy == Policy::module || policy == Policy::module_two_choice || policy == Policy::module_least_load)
-    return std::make_unique<CoreHost>(site, epoch, std::move(held), now, wall_now, std::move(between));
+    return std::make_unique<CoreHost>(site, epoch, std::move(held), now, wall_now, std::move(interceptor));
   return std::make_unique<PlainHost>(site, epoch, std::move(held), now, policy == Policy::static_weights);
 }
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -145,10 +145,12 @@
 
 void Parser::start_line(std::string_view text) {
   if (has_control(text)) fail(400, "a control character in the first line");
-  std::size_t first = text.find(' '), second = text.find(' ', first == std::string_view::npos ? first : first + 1);
+  std::size_t first = text.find(' '),
+              second = text.find(' ', first == std::string_view::npos ? first : first + 1);
   std::string_view version;
   if (kind_ == Kind::request) {
-    if (second == std::string_view::npos || text.find(' ', second + 1) != std::string_view::npos) fail(400, "not a request line");
+    if (second == std::string_view::npos || text.find(' ', second + 1) != std::string_view::npos)
+      fail(400, "not a request line");
     message_.method = text.substr(0, first);
     message_.target = text.substr(first + 1, second - first - 1);
     version = text.substr(second + 1);
--- a/tests/assigner/parts_test.cpp
+++ b/tests/assigner/parts_test.cpp
@@ -6,7 +6,7 @@
 
 #include "assigner/cached_list_codec.h"
 #include "assigner/endpoint_list_json.h"
-#include "assigner/intake.h"
+#include "assigner/report_intake.h"
 #include "assigner/rig.h"
 
 namespace beamshunt::assigner::test {
@@ -137,14 +137,14 @@
   }
 }
 
-TEST(Intake, SumsByPairAndGivesTheLongestWaitingFirstAtItsPace) {
-  Intake intake(10);
+TEST(ReportIntake, SumsByPairAndGivesTheLongestWaitingFirstAtItsPace) {
+  ReportIntake intake(10);
   intake.release(0);
   for (int report = 0; report < 3; ++report)
     for (std::uint32_t e = 1; e <= 8; ++e)
-      intake.heard(Locality{0}, {e, 10, 2, 20.0 + report, {{"utilization", 0.1 * report}}}, report * 100.0,
-                   report * 100.0 + 100);
-  intake.used(ProxyId{1}, {0, 5, 1}, 0, 100);
+      intake.add_endpoint_report(Locality{0}, {e, 10, 2, 20.0 + report, {{"utilization", 0.1 * report}}},
+                                 report * 100.0, report * 100.0 + 100);
+  intake.add_demand_report(ProxyId{1}, {0, 5, 1}, 0, 100);
   EXPECT_EQ(intake.waiting(), 9u);
   auto first = intake.release(500);
   ASSERT_EQ(first.size(), 5u);
@@ -162,14 +162,14 @@
 }
 
 // No reports come for a minute, then many at once. The policy is given a second's worth, not a minute's.
-TEST(Intake, AnIdlePaceIsNotSavedUpForMoreThanASecond) {
-  Intake intake(10);
+TEST(ReportIntake, AnIdlePaceIsNotSavedUpForMoreThanASecond) {
+  ReportIntake intake(10);
   intake.release(0);
   intake.release(60000);
-  for (std::uint32_t e = 1; e <= 100; ++e) intake.heard(Locality{0}, {e, 1, 0, 20, {}}, 0, 100);
+  for (std::uint32_t e = 1; e <= 100; ++e) intake.add_endpoint_report(Locality{0}, {e, 1, 0, 20, {}}, 0, 100);
   EXPECT_EQ(intake.release(60000).size(), 10u);
-  intake.used(ProxyId{1}, {0, 5, 1}, 0, 100);
-  intake.forget(ProxyId{1});
+  intake.add_demand_report(ProxyId{1}, {0, 5, 1}, 0, 100);
+  intake.forget_proxy(ProxyId{1});
   EXPECT_EQ(intake.waiting(), 90u);
 }
 
--- a/tests/assigner/streamed_configuration_test.cpp
+++ b/tests/assigner/streamed_configuration_test.cpp
@@ -138,7 +138,7 @@
     rig.list(list_line("total", 1, {2, 4, 5}));
     rig.live({rig.join(0)}, 300);
     rig.core.reconfigure(next, 2, 99, rig.now);
-    EXPECT_EQ(rig.core.taking_over(), takes_effect(path) == TakesEffect::fresh_module) << path;
+    EXPECT_EQ(rig.core.handover_in_progress(), takes_effect(path) == TakesEffect::fresh_module) << path;
     EXPECT_TRUE(rig.core.take_effects().size() > 0);
   }
 }
@@ -150,14 +150,14 @@
   std::size_t seen = 0;
   bool ever_empty = false;
   void follow(Rig& rig, StreamId id) {
-    auto all = rig.got<channel::Orders>(id);
+    auto all = rig.got<channel::UpdateMessage>(id);
     for (; seen < all.size(); ++seen) {
-      for (auto& order : all[seen].orders) {
-        if (auto* line = std::get_if<channel::LineOrder>(&order)) {
+      for (auto& order : all[seen].updates) {
+        if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
           if (line->weight > 0) tables[line->table].insert(line->endpoint);
           else tables[line->table].erase(line->endpoint);
         }
-        if (auto* bind = std::get_if<channel::BindOrder>(&order)) {
+        if (auto* bind = std::get_if<channel::AssignTableUpdate>(&order)) {
           tables[bind->table].clear();
           for (int c = 0; c < 2; ++c)
             if (bind->classes >> c & 1) of_class[c] = bind->table;
@@ -200,8 +200,8 @@
   begin(6);
   rig.core.reconfigure(changed("site: guarantees: warm_up: 5s"), 2, 99, rig.now);
   go(4000);
-  EXPECT_FALSE(rig.core.taking_over());
-  EXPECT_TRUE(rig.logged("module_taken_over"));
+  EXPECT_FALSE(rig.core.handover_in_progress());
+  EXPECT_TRUE(rig.logged("controller_replaced"));
   for (StreamId id : streams) {
     EXPECT_FALSE(held[id].ever_empty);
     EXPECT_FALSE(rig.is_closed(id)) << rig.refusal(id);
@@ -220,7 +220,7 @@
   std::string slow = "site: {proxies: 12, channel: {lines_per_s: 80/s, most_waiting_lines: 200}}";
   rig.core.reconfigure(changed(slow), 2, 99, rig.now);
   go(150);
-  ASSERT_TRUE(rig.core.taking_over());
+  ASSERT_TRUE(rig.core.handover_in_progress());
   std::size_t former = 0;
   for (StreamId id : streams)
     for (auto& [c, table] : held[id].of_class) former += table < 1u << 16;
@@ -229,7 +229,7 @@
   go(9000);
   for (StreamId id : streams) EXPECT_FALSE(held[id].has(2));
   for (StreamId id : streams) EXPECT_FALSE(held[id].ever_empty);
-  EXPECT_FALSE(rig.core.taking_over());
+  EXPECT_FALSE(rig.core.handover_in_progress());
   EXPECT_TRUE(flight_record::replay(rig.record).same());
 }
 
@@ -246,7 +246,7 @@
     if (rig.core.may_reconfigure(next, rig.now)) rig.core.reconfigure(next, 3, 99, rig.now), ++times_taken;
     for (int step = 0; step < 6; ++step) {
       go(50);
-      EXPECT_LE(rig.core.waiting_lines(), 2000);
+      EXPECT_LE(rig.core.unacknowledged_lines(), 2000);
     }
   }
   go(3000);
@@ -254,13 +254,13 @@
   EXPECT_LT(times_taken, 12);
   for (StreamId id : streams) {
     std::vector<Ms> times;
-    for (auto& m : rig.got<channel::Orders>(id))
+    for (auto& m : rig.got<channel::UpdateMessage>(id))
       if (m.decided_at_ms > 1007500) times.push_back(m.decided_at_ms);
     for (std::size_t k = 6; k < times.size(); ++k)
       EXPECT_GT(times[k] - times[k - 6], 3000) << "message " << k << " of proxy stream";
     EXPECT_FALSE(held[id].ever_empty);
   }
-  EXPECT_FALSE(rig.core.taking_over());
+  EXPECT_FALSE(rig.core.handover_in_progress());
 }
 
 // While the handover is under way a proxy leaves, another joins and one returns. Each must be taken over
@@ -275,7 +275,7 @@
   streams.push_back(rig.join(20));
   streams.push_back(rig.join(7, 1, 2));
   go(8000);
-  EXPECT_FALSE(rig.core.taking_over());
+  EXPECT_FALSE(rig.core.handover_in_progress());
   for (StreamId id : streams) {
     EXPECT_FALSE(rig.is_closed(id)) << rig.refusal(id);
     EXPECT_TRUE(held[id].has(4));
