--- a/src/assigner/action_executor.h
+++ b/src/assigner/action_executor.h
@@ -1,5 +1,5 @@
-// Carries out a controller's actions: on its tables, on its timers, and as effects. It sends no update itself;
-// what actions change for proxies is gathered in the update writer. It decides nothing.
+// Carries out a controller's actions: on its tables, on its timers, and as effects. It sends no update
+// itself; what actions change for proxies is gathered in the update writer. It decides nothing.
 #pragma once
 
 #include <cstdint>
--- a/src/assigner/configuration_manager.h
+++ b/src/assigner/configuration_manager.h
@@ -1,6 +1,6 @@
-// Streamed configuration in a running assigner. Carries out what config_stream::Client decides: a version that
-// is offered is checked, stored, applied once the fleet has room for it, and then on trial; one that fails
-// its trial gives way to the last good one. Operators roll back, pin and unpin through it.
+// Streamed configuration in a running assigner. Carries out what config_stream::Client decides: a version
+// that is offered is checked, stored, applied once the fleet has room for it, and then on trial; one that
+// fails its trial gives way to the last good one. Operators roll back, pin and unpin through it.
 //
 // Decides nothing itself: the order of versions is config_stream::Client's, the check the validator's, the
 // trial version_trial's, when a version may be applied the core's.
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -13,8 +13,8 @@
 
 using base::raw;
 
-// Of the messages that a proxy may be sent within the window, the part that may be spent before a handover: it
-// costs each proxy one message, and drains must find theirs behind it.
+// Of the messages that a proxy may be sent within the window, the part that may be spent before a handover:
+// it costs each proxy one message, and drains must find theirs behind it.
 constexpr double kMaxSpentBeforeHandover = 0.5;
 
 Time to_time(Ms ms) { return Time(Duration(ms)); }
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -1,5 +1,5 @@
-// The assigner without its sockets: bytes, times and responses in, effects out. Everything that an assigner is,
-// but for moving bytes, so that tests drive it through any fault in simulated time. This class wires the
+// The assigner without its sockets: bytes, times and responses in, effects out. Everything that an assigner
+// is, but for moving bytes, so that tests drive it through any fault in simulated time. This class wires the
 // modules: it decides nothing about load, which the controllers do, and performs no I/O.
 #pragma once
 
@@ -62,10 +62,9 @@
   void health_check_completed(EndpointId endpoint, AttemptOutcome outcome, Ms latency, LoadReport load);
 
   // Other settings from this instant on. Where the policy's own differ, a new controller takes over (see
-  // handover.h). `next` may differ from what runs in nothing that fleet_conflicts() names. `version`, `hash`: for
-  // the flight record.
-  // Not while a handover is in progress, nor while a proxy could not be sent the message that assigns its
-  // table within the limit on messages (rule 5): may_reconfigure() says so.
+  // handover.h). `next` may differ from what runs in nothing that fleet_conflicts() names. `version`, `hash`:
+  // for the flight record. Not while a handover is in progress, nor while a proxy could not be sent the
+  // message that assigns its table within the limit on messages (rule 5): may_reconfigure() says so.
   [[nodiscard]] bool may_reconfigure(const AssignerSettings& next, Ms now) const;
   void reconfigure(const AssignerSettings& next, std::uint64_t version, std::uint64_t hash, Ms now);
   void stop(Ms now) { protocol_.stop(now); }  // no new streams; those there are told
--- a/src/assigner/core_metrics.cpp
+++ b/src/assigner/core_metrics.cpp
@@ -111,8 +111,8 @@
   return most;
 }
 
-// The oldest update that takes a closed endpoint out and is not acknowledged, or the oldest weight of one that
-// still stands.
+// The oldest update that takes a closed endpoint out and is not acknowledged, or the oldest weight of one
+// that still stands.
 double CoreMetrics::drain_use(const CoreView& core, Ms now) const {
   Ms oldest = 0;
   for (const auto& [stream, session] : core.sessions.all())
--- a/src/assigner/handover.h
+++ b/src/assigner/handover.h
@@ -1,8 +1,8 @@
-// The running controllers. Other policy settings start a new controller, which takes the proxies over one after
-// the other, at the pace of the channel: until it has assigned a proxy its first table, the former controller
-// goes on updating that proxy, so that none is ever without endpoints and no drain waits. This module keeps who
-// owns which proxy, what each must know of the others' use of the channel, and which has been replaced. It
-// sends nothing.
+// The running controllers. Other policy settings start a new controller, which takes the proxies over one
+// after the other, at the pace of the channel: until it has assigned a proxy its first table, the former
+// controller goes on updating that proxy, so that none is ever without endpoints and no drain waits. This
+// module keeps who owns which proxy, what each must know of the others' use of the channel, and which has
+// been replaced. It sends nothing.
 #pragma once
 
 #include <cstdint>
@@ -61,8 +61,8 @@
 
   // ---- The shared channel ----
   void count_message(std::uint32_t controller, ProxyId proxy);  // that this controller sent
-  // While several controllers send through one channel, each must know what the others have in it, or together
-  // they would pass the limits on queued lines and on messages to a proxy.
+  // While several controllers send through one channel, each must know what the others have in it, or
+  // together they would pass the limits on queued lines and on messages to a proxy.
   void deliver_shared_channel_usage(const SessionTable::Sessions& sessions);
 
  private:
--- a/src/assigner/message_history.h
+++ b/src/assigner/message_history.h
@@ -1,5 +1,5 @@
-// When update messages to one proxy were decided, to count those within the message window: settings limit how
-// many a proxy may be sent in it. It enforces nothing; controllers keep the limit.
+// When update messages to one proxy were decided, to count those within the message window: settings limit
+// how many a proxy may be sent in it. It enforces nothing; controllers keep the limit.
 #pragma once
 
 #include <algorithm>
--- a/src/assigner/session.h
+++ b/src/assigner/session.h
@@ -1,5 +1,5 @@
-// One stream to the assigner: who is at its other side, how far its handshake is, when it last spoke, and what
-// it has not acknowledged. It tells what is due by the clock; it sends nothing and closes nothing.
+// One stream to the assigner: who is at its other side, how far its handshake is, when it last spoke, and
+// what it has not acknowledged. It tells what is due by the clock; it sends nothing and closes nothing.
 #pragma once
 
 #include <cstdint>
--- a/src/assigner/session_protocol.h
+++ b/src/assigner/session_protocol.h
@@ -1,5 +1,6 @@
-// The protocol of a stream: handshake, heartbeat, time-outs, which frame may come when, and who makes room for
-// whom. It keeps the sessions and tells its listener what concerns the controllers; it knows no controller.
+// The protocol of a stream: handshake, heartbeat, time-outs, which frame may come when, and who makes room
+// for whom. It keeps the sessions and tells its listener what concerns the controllers; it knows no
+// controller.
 #pragma once
 
 #include <cstdint>
@@ -34,8 +35,8 @@
 
 class SessionProtocol {
  public:
-  // All references must outlive this. `site` is read at each call; site_changed() follows its change. `epoch`:
-  // of this run, told to proxies.
+  // All references must outlive this. `site` is read at each call; site_changed() follows its change.
+  // `epoch`: of this run, told to proxies.
   SessionProtocol(const AssignerSettings& site, std::uint64_t epoch, Ms now, SessionListener& listener,
                   std::vector<Effect>& effects, Counters& counters);
 
--- a/src/assigner/update_channel.h
+++ b/src/assigner/update_channel.h
@@ -1,5 +1,5 @@
-// The pace at which update messages leave for proxies: one after the other, each for as long as its lines take
-// at the channel's speed. The channel is one for all proxies. It decides nothing about what is sent.
+// The pace at which update messages leave for proxies: one after the other, each for as long as its lines
+// take at the channel's speed. The channel is one for all proxies. It decides nothing about what is sent.
 #pragma once
 
 #include <cstddef>
@@ -25,8 +25,8 @@
   Ms reserve(double lines, double lines_per_second, Ms now);
   // Messages are queued in the order of their reservations.
   void enqueue(PacedMessage message);
-  // The next message that leaves by `now`. A message whose stream has ended comes too: it took its time in the
-  // channel all the same, as controllers count it.
+  // The next message that leaves by `now`. A message whose stream has ended comes too: it took its time in
+  // the channel all the same, as controllers count it.
   std::optional<PacedMessage> take_due(Ms now);
 
   [[nodiscard]] std::optional<Ms> next_due() const;
--- a/src/assigner/update_writer.h
+++ b/src/assigner/update_writer.h
@@ -1,5 +1,5 @@
-// From a controller's updates to the native protocol's: gathers what one batch of decisions says to each proxy,
-// so that it becomes one message. It keeps no tables and sends nothing.
+// From a controller's updates to the native protocol's: gathers what one batch of decisions says to each
+// proxy, so that it becomes one message. It keeps no tables and sends nothing.
 #pragma once
 
 #include <cstdint>
--- a/src/channel/frames.h
+++ b/src/channel/frames.h
@@ -71,7 +71,8 @@
 };
 
 // ---- Updates to one proxy. Class masks: bit N is request class N. ----
-// One endpoint's weight in a table. The endpoint's address comes along so that a proxy needs no endpoint list.
+// One endpoint's weight in a table. The endpoint's address comes along so that a proxy needs no endpoint
+// list.
 struct WeightUpdate {
   std::uint32_t table = 0;
   std::uint32_t endpoint = 0;
@@ -86,7 +87,8 @@
   std::uint32_t table = 0;
   bool operator==(const ClearTableUpdate&) const = default;
 };
-// The proxy uses the table for these classes. It begins empty; its weights and limits follow in the same message.
+// The proxy uses the table for these classes. It begins empty; its weights and limits follow in the same
+// message.
 struct AssignTableUpdate {
   std::uint64_t classes = 0;
   std::uint32_t table = 0;
@@ -133,7 +135,8 @@
   std::vector<std::pair<std::string, double>> load;  // the newest load figures among the responses, by name
   bool operator==(const EndpointReportEntry&) const = default;
 };
-// Requests of a class since the last report. A request may arrive in one report's interval and end in the next.
+// Requests of a class since the last report. A request may arrive in one report's interval and end in the
+// next.
 struct DemandReportEntry {
   std::uint16_t request_class = 0;
   std::uint32_t arrivals = 0;
@@ -196,8 +199,8 @@
   };
   void allow(std::size_t most_bytes) { most_ = most_bytes; }
   void push(std::string_view bytes);
-  // The next whole frame, if there is one; take() moves behind it. Throws ProtocolError, before the payload is
-  // there, for a frame that is too long or of an unknown kind.
+  // The next whole frame, if there is one; take() moves behind it. Throws ProtocolError, before the payload
+  // is there, for a frame that is too long or of an unknown kind.
   std::optional<Piece> look() const;
   void take(const Piece& piece) { at_ += kHeaderBytes + piece.payload.size(); }
   std::size_t unfinished() const { return held_.size() - at_; }
--- a/src/platform/ack_tracker.h
+++ b/src/platform/ack_tracker.h
@@ -1,5 +1,6 @@
-// The nonces that proxies have not acknowledged: which are overdue, which acks are late, and what they hold of
-// the channel, also across a handover from one controller to the next. It sends nothing and ends no session.
+// The nonces that proxies have not acknowledged: which are overdue, which acks are late, and what they hold
+// of the channel, also across a handover from one controller to the next. It sends nothing and ends no
+// session.
 //
 // All proxies' messages pass one channel in their order, at a pace that differs from day to day. A message is
 // overdue by comparison with others alone: once a later one was acknowledged, whoever it was sent to, the
@@ -53,8 +54,8 @@
   // controller that sent it.
   AckResult acknowledge(ConnectionId connection, std::uint32_t nonce, Ms now);
   [[nodiscard]] bool has_unacknowledged(ConnectionId connection) const;
-  // When the stream's oldest nonce was sent, if its ack is overdue; else nothing. `max_update_delay`: ms that a
-  // message travels at the longest.
+  // When the stream's oldest nonce was sent, if its ack is overdue; else nothing. `max_update_delay`: ms that
+  // a message travels at the longest.
   [[nodiscard]] std::optional<Ms> overdue_since_sent(ConnectionId connection, Ms max_update_delay,
                                                      Ms now) const;
   // Releases the stream's oldest nonce as if it were acknowledged. Its lines leave the controller's account,
--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -1,5 +1,5 @@
-// The configuration that the platform gives an assigner: one JSON file, read at the start and again at SIGHUP.
-// It is decoded here and nowhere else.
+// The configuration that the platform gives an assigner: one JSON file, read at the start and again at
+// SIGHUP. It is decoded here and nowhere else.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,8 @@
 
 namespace beamshunt::platform {
 
-// A configuration that can't be used. what() names the field and what is wrong, and the file where it is known.
+// A configuration that can't be used. what() names the field and what is wrong, and the file where it is
+// known.
 struct ConfigurationError : std::runtime_error {
   // Each is empty where it is not known.
   struct Detail {
--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kMaxUnfinishedBytes = 4194304;
 // Part of the channel's pace that liveness checks may use: after a network cut many streams are idle at once.
 constexpr double kLivenessChannelShare = 0.05;
-// A liveness check is sent only while it leaves one of so many of the messages allowed to a proxy in a window:
-// the rest is for updates.
+// A liveness check is sent only while it leaves one of so many of the messages allowed to a proxy in a
+// window: the rest is for updates.
 constexpr std::size_t kLivenessWindowDivisor = 2;
 constexpr double kMsPerSecond = 1000;
 
@@ -233,9 +233,9 @@
   hand_over_streams(now);
 }
 
-// The streams go on: the new controller assigns tables to all of their proxies, which use what they hold until
-// then. The limits on the channel and on each proxy's messages hold for both controllers together, so the new
-// one is told what the former ones' messages hold of them.
+// The streams go on: the new controller assigns tables to all of their proxies, which use what they hold
+// until then. The limits on the channel and on each proxy's messages hold for both controllers together, so
+// the new one is told what the former ones' messages hold of them.
 void Core::hand_over_streams(Ms now) {
   SharedChannelUsage usage;
   for (const auto& [proxy, id] : sessions_.proxies()) {
@@ -357,10 +357,10 @@
          (settings.message_overhead_lines + 1);
 }
 
-// A stream whose proxy vanished stays open and silent: while nothing is sent to it, it would stand for its proxy
-// for good, and its last demand with it. A nonce alone, sent to an idle stream, makes the proxy answer or its
-// ack overdue. The controller did not send it and is told what it uses of the channel. Returns whether a check
-// was sent.
+// A stream whose proxy vanished stays open and silent: while nothing is sent to it, it would stand for its
+// proxy for good, and its last demand with it. A nonce alone, sent to an idle stream, makes the proxy answer
+// or its ack overdue. The controller did not send it and is told what it uses of the channel. Returns whether
+// a check was sent.
 bool Core::check_liveness(ConnectionId id, Session& session, Ms now) {
   const Settings& settings = configuration_.settings;
   if (session.role() != Session::Role::proxy) return false;
--- a/src/platform/core.h
+++ b/src/platform/core.h
@@ -1,6 +1,6 @@
-// The platform's assigner without its sockets: bytes, results and times in, effects out. It wires the parts of
-// this package to the controller and hands each input to the part that owns it. It performs no I/O, reads no
-// clock and makes no decision on endpoints: those are the controller's.
+// The platform's assigner without its sockets: bytes, results and times in, effects out. It wires the parts
+// of this package to the controller and hands each input to the part that owns it. It performs no I/O, reads
+// no clock and makes no decision on endpoints: those are the controller's.
 //
 // One call of the controller takes all that came since the last one: the shell reports what happens as it
 // happens, calls run_once() when the loop has nothing more, and executes the effects in their order.
--- a/src/platform/directory.h
+++ b/src/platform/directory.h
@@ -1,5 +1,6 @@
-// The endpoint list as discovery gives it: its JSON objects to list changes for the controller, and endpoints'
-// uids to ids and back. The wire names of the list are known here alone. It performs no I/O and reads no clock.
+// The endpoint list as discovery gives it: its JSON objects to list changes for the controller, and
+// endpoints' uids to ids and back. The wire names of the list are known here alone. It performs no I/O and
+// reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -43,11 +44,11 @@
     bool outdated = false;               // the object's revision is before the one applied last
   };
 
-  // Applies one of discovery's objects. `now`: ms of the monotonic clock; `wall_now`: ms since 1970 at the same
-  // instant. An entry with an unusable value does not stop the others, and its other values are applied: a
-  // drain counts as told once discovery wrote it. An outdated revision, from a former watch or a source that
-  // lags behind, is applied too, but takes back no drain and no start. Throws EndpointListError where the bytes
-  // are no list object; then nothing has changed.
+  // Applies one of discovery's objects. `now`: ms of the monotonic clock; `wall_now`: ms since 1970 at the
+  // same instant. An entry with an unusable value does not stop the others, and its other values are applied:
+  // a drain counts as told once discovery wrote it. An outdated revision, from a former watch or a source
+  // that lags behind, is applied too, but takes back no drain and no start. Throws EndpointListError where
+  // the bytes are no list object; then nothing has changed.
   Change apply(std::string_view bytes, const settings::Names& names, Ms now, double wall_now);
 
   // The list is requested again from version() on: what was applied in part comes again.
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -1,6 +1,6 @@
-// Keeps the endpoint list up to date with discovery: opens watches, applies their objects and those of fetches
-// to the directory, and tells the controller what changed or that the list was lost. It performs no I/O; the
-// shell carries the requests.
+// Keeps the endpoint list up to date with discovery: opens watches, applies their objects and those of
+// fetches to the directory, and tells the controller what changed or that the list was lost. It performs no
+// I/O; the shell carries the requests.
 #pragma once
 
 #include <optional>
--- a/src/platform/health_check_client.h
+++ b/src/platform/health_check_client.h
@@ -1,5 +1,5 @@
-// The controller's health checks of endpoints: at most one in flight for each endpoint. When to check, and what
-// a result means, is the controller's; the shell carries the requests.
+// The controller's health checks of endpoints: at most one in flight for each endpoint. When to check, and
+// what a result means, is the controller's; the shell carries the requests.
 #pragma once
 
 #include <cstdint>
@@ -28,8 +28,8 @@
   // connect_failed at once.
   void start(EndpointId endpoint);
 
-  // The shell's result of StartHealthCheck. `duration`: ms; `body`: of the answer, holds the load report if one
-  // was requested.
+  // The shell's result of StartHealthCheck. `duration`: ms; `body`: of the answer, holds the load report if
+  // one was requested.
   void on_result(EndpointId endpoint, HealthCheckId id, AttemptOutcome outcome, Ms duration,
                  std::string_view body);
 
--- a/src/platform/list_watch.cpp
+++ b/src/platform/list_watch.cpp
@@ -21,8 +21,8 @@
 
 ListWatch::Opened ListWatch::open() {
   Opened opened;
-  // The watch that serves and the one on its way are all that is ever of use. Without this, a burst of address
-  // changes would hold open a watch for each.
+  // The watch that serves and the one on its way are all that is ever of use. Without this, a burst of
+  // address changes would hold open a watch for each.
   std::erase_if(watches_, [&](const auto& watch) {
     if (watch.second.serves) return false;
     opened.superseded.push_back(watch.first);
--- a/src/platform/message.h
+++ b/src/platform/message.h
@@ -1,6 +1,6 @@
-// The platform's wire: one JSON object a line to a typed message, and updates to lines. This is the only place
-// that knows the wire's names; everything else uses the terms of the fields below. Bounded and free of I/O; it
-// keeps no state but LineReader's bytes.
+// The platform's wire: one JSON object a line to a typed message, and updates to lines. This is the only
+// place that knows the wire's names; everything else uses the terms of the fields below. Bounded and free of
+// I/O; it keeps no state but LineReader's bytes.
 #pragma once
 
 #include <cstddef>
@@ -48,8 +48,8 @@
   // Appends bytes as they were received, in pieces of any size.
   void push(std::string_view bytes) { buffer_.append(bytes); }
   // The next complete line without its end; nothing if none is complete yet. Throws ProtocolError for bytes
-  // that can't become a message, as soon as that can be seen: a line longer than allowed, or one that does not
-  // begin like a JSON object.
+  // that can't become a message, as soon as that can be seen: a line longer than allowed, or one that does
+  // not begin like a JSON object.
   std::optional<std::string> next();
   // Bytes that were received and not handed out.
   [[nodiscard]] std::size_t unfinished() const { return buffer_.size() - consumed_; }
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -151,8 +151,8 @@
     if (connection != connections_.end()) connection->second->send(std::move(effect.bytes));
   }
 
-  // Closed with bytes unread, a connection is reset, and its peer may never see the reason. So it lingers, but
-  // not so many at a time that their descriptors are missed.
+  // Closed with bytes unread, a connection is reset, and its peer may never see the reason. So it lingers,
+  // but not so many at a time that their descriptors are missed.
   void execute(const CloseConnection& effect) {
     auto connection = connections_.extract(effect.connection);
     if (connection.empty()) return;
--- a/src/platform/service.h
+++ b/src/platform/service.h
@@ -1,5 +1,5 @@
-// The platform's assigner on sockets: moves bytes between the core and the network, runs its timers and signals,
-// and decides nothing.
+// The platform's assigner on sockets: moves bytes between the core and the network, runs its timers and
+// signals, and decides nothing.
 #pragma once
 
 #include <string>
--- a/src/platform/session.cpp
+++ b/src/platform/session.cpp
@@ -3,7 +3,8 @@
 namespace beamshunt::platform {
 namespace {
 
-// Bytes of a message before the registration: all valid ones are short, and hundreds of strangers may connect.
+// Bytes of a message before the registration: all valid ones are short, and hundreds of strangers may
+// connect.
 constexpr std::size_t kMaxHandshakeMessageBytes = 4096;
 // Bytes of any later message, by the protocol.
 constexpr std::size_t kMaxMessageBytes = 1048576;
--- a/src/platform/session_table.h
+++ b/src/platform/session_table.h
@@ -21,7 +21,8 @@
  public:
   using Sessions = std::map<ConnectionId, Session>;
 
-  // `sockets`: descriptors that the process may hold. Some are reserved for discovery, health checks and files.
+  // `sockets`: descriptors that the process may hold. Some are reserved for discovery, health checks and
+  // files.
   explicit SessionTable(std::size_t sockets) : sockets_(sockets) {}
   void set_sockets(std::size_t sockets) { sockets_ = sockets; }
 
@@ -35,15 +36,15 @@
   // Nothing while there are descriptors enough, or where all are registered.
   [[nodiscard]] std::optional<ConnectionId> eviction_candidate();
 
-  // Registers the session, which must be open. Throws ProtocolError of scope `connection` where no descriptors
-  // are left for more who register; the session is as it was then.
+  // Registers the session, which must be open. Throws ProtocolError of scope `connection` where no
+  // descriptors are left for more who register; the session is as it was then.
   void register_proxy(ConnectionId id, const ProxyRegistration& registration);
   void register_collector(ConnectionId id, Locality locality);
 
   // The connection of a registered proxy.
   [[nodiscard]] std::optional<ConnectionId> connection_of(ProxyId proxy) const;
-  // The oldest collector of the locality, if one has to go before another registers. Nothing is ever sent to a
-  // collector, so the session of one that vanished never ends by itself: newer ones push it out.
+  // The oldest collector of the locality, if one has to go before another registers. Nothing is ever sent to
+  // a collector, so the session of one that vanished never ends by itself: newer ones push it out.
   [[nodiscard]] std::optional<ConnectionId> surplus_collector(Locality locality);
 
   [[nodiscard]] Sessions& sessions() { return sessions_; }
--- a/src/platform/update_writer.cpp
+++ b/src/platform/update_writer.cpp
@@ -14,9 +14,9 @@
 
 ClassMask mask_of(ClassId request_class) { return ClassMask{1} << base::raw(request_class); }
 
-// The part that may take one more update for exactly these classes, a new one if there is none. A proxy applies
-// parts in their order, so an update may not join a part before a later one that concerns one of the classes
-// and that it must follow: `must_follow` tells whether that holds of a part.
+// The part that may take one more update for exactly these classes, a new one if there is none. A proxy
+// applies parts in their order, so an update may not join a part before a later one that concerns one of the
+// classes and that it must follow: `must_follow` tells whether that holds of a part.
 template <typename Predicate>
 UpdatePart& part_for(UpdateWriter::Parts& parts, ClassMask classes, Predicate must_follow) {
   for (UpdatePart& part : std::views::reverse(parts)) {
@@ -37,7 +37,8 @@
 std::map<ProxyId, UpdateWriter::Parts> UpdateWriter::take_messages() { return std::exchange(messages_, {}); }
 
 void UpdateWriter::write(ProxyId proxy, const assignments::Update& update) {
-  // The proxy is sent a message even where nothing of the update can be written, as the controller counted it.
+  // The proxy is sent a message even where nothing of the update can be written, as the controller counted
+  // it.
   add_message(proxy);
   std::visit([&](const auto& concrete) { write_update(proxy, concrete); }, update);
 }
--- a/src/platform/update_writer.h
+++ b/src/platform/update_writer.h
@@ -1,9 +1,10 @@
-// What the controller decided, as update messages: each action on tables becomes the updates of the proxies that
-// it concerns, and the updates of one batch to one proxy become the parts of one message. It sends nothing.
+// What the controller decided, as update messages: each action on tables becomes the updates of the proxies
+// that it concerns, and the updates of one batch to one proxy become the parts of one message. It sends
+// nothing.
 //
 // The protocol has no table numbers: a proxy has one table a class, so a table's change goes out for the
-// classes that the proxy uses it for. Nor has it a limit for all tables: what goes out is the limit in force for
-// each table and class, again after each replacement of a table, which voids its limits.
+// classes that the proxy uses it for. Nor has it a limit for all tables: what goes out is the limit in force
+// for each table and class, again after each replacement of a table, which voids its limits.
 #pragma once
 
 #include <cstddef>
@@ -23,8 +24,8 @@
   // `directory` must outlive this.
   explicit UpdateWriter(const Directory& directory) : directory_(directory), tables_(0) {}
 
-  // A controller starts: it has decided nothing yet. Proxies have to be registered again. `class_count`: number
-  // of request classes, at most 63.
+  // A controller starts: it has decided nothing yet. Proxies have to be registered again. `class_count`:
+  // number of request classes, at most 63.
   void start_controller(std::size_t class_count) { tables_ = assignments::AssignmentTables(class_count); }
 
   void register_proxy(ProxyId proxy) { tables_.register_proxy(proxy); }
--- a/src/policy/channel_budget.h
+++ b/src/policy/channel_budget.h
@@ -1,4 +1,5 @@
-// Accounts for the update channel: which lines are queued or in flight, and which messages each proxy was sent.
+// Accounts for the update channel: which lines are queued or in flight, and which messages each proxy was
+// sent.
 //
 // Questions: how full is the channel? How many messages did a proxy get lately?
 // Inputs: lines and messages sent, acknowledgments, another controller's share of the channel.
--- a/src/simulator_adapter/session.h
+++ b/src/simulator_adapter/session.h
@@ -1,5 +1,5 @@
-// The adapter's event loop: reads batches of events, has each instance's controller handle its own, and writes
-// the actions. It decides nothing.
+// The adapter's event loop: reads batches of events, has each instance's controller handle its own, and
+// writes the actions. It decides nothing.
 #pragma once
 
 #include <array>
--- a/tests/assigner/channel_parts_test.cpp
+++ b/tests/assigner/channel_parts_test.cpp
@@ -93,8 +93,8 @@
   EXPECT_EQ(session.check(timeouts, 700), SessionCheck::unresponsive);
 }
 
-// A proxy answers pings and applies nothing. Its messages would hold the channel's lines for ever, and with them
-// every other proxy's updates: it is overdue by the oldest message, however alive it is.
+// A proxy answers pings and applies nothing. Its messages would hold the channel's lines for ever, and with
+// them every other proxy's updates: it is overdue by the oldest message, however alive it is.
 TEST(Session, AnUnacknowledgedMessageIsOverdueWhileTheProxyLives) {
   const SessionTimeouts timeouts{.handshake = 500, .heartbeat = 200, .ack = 1000};
   Session session;
@@ -106,8 +106,8 @@
   EXPECT_EQ(session.check(timeouts, 1100), SessionCheck::ack_overdue);
 }
 
-// A peer dials in and is dialled at the same time: two streams of one instance. The end of the one that came in
-// must not take the other one's place.
+// A peer dials in and is dialled at the same time: two streams of one instance. The end of the one that came
+// in must not take the other one's place.
 TEST(SessionTable, OnlyTheDialledStreamOfAPeerLeavesTheIndex) {
   SessionTable table;
   auto dialled = table.open(StreamId{1}, 0);
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -33,8 +33,9 @@
   EXPECT_EQ(line->port, 8000);
 }
 
-// An endpoint is told to terminate and leaves when its grace is over. A proxy that still has it in a table then
-// sends requests to nobody: every proxy must be rid of it before, and none may be left without endpoints.
+// An endpoint is told to terminate and leaves when its grace is over. A proxy that still has it in a table
+// then sends requests to nobody: every proxy must be rid of it before, and none may be left without
+// endpoints.
 TEST(Core, ADrainReachesEveryProxyWithinItsGrace) {
   Rig rig;
   rig.list(list_line("total", 1, {2, 4, 6}));
@@ -51,8 +52,9 @@
     }
 }
 
-// Whatever can reach the port connects: a port scanner, a web client, an older proxy, a proxy with another site's
-// settings. Each is refused with a reason that names what is wrong, and the proxy that does well notices nothing.
+// Whatever can reach the port connects: a port scanner, a web client, an older proxy, a proxy with another
+// site's settings. Each is refused with a reason that names what is wrong, and the proxy that does well
+// notices nothing.
 TEST(Core, StreamsThatSayNothingOrRubbishEndAloneWithOneReason) {
   Rig rig;
   rig.list(list_line("total", 1, {2, 4}));
@@ -85,8 +87,8 @@
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
 
-// A proxy acknowledges a message that it was never sent, or reports on a class that does not exist: the two sides
-// have lost count, and only a new stream brings them together again.
+// A proxy acknowledges a message that it was never sent, or reports on a class that does not exist: the two
+// sides have lost count, and only a new stream brings them together again.
 TEST(Core, AConfirmationOfWhatWasNeverSentEndsTheStream) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -98,8 +100,8 @@
   EXPECT_NE(rig.refusal(q).find("a report on class 9, there are 2"), std::string::npos);
 }
 
-// A proxy's machine loses power, and no packet says so. The stream would stay open for ever and the proxy count
-// as registered: pings are sent, and without a byte for three heartbeats the stream is ended.
+// A proxy's machine loses power, and no packet says so. The stream would stay open for ever and the proxy
+// count as registered: pings are sent, and without a byte for three heartbeats the stream is ended.
 TEST(Core, AHalfOpenStreamIsFoundByItsSilence) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -112,8 +114,8 @@
   EXPECT_EQ(rig.core.proxies(), 0u);
 }
 
-// A proxy answers pings and applies no update. Its messages would hold the channel's lines for ever, and other
-// proxies' updates with them: its stream is ended once the oldest acknowledgement is overdue.
+// A proxy answers pings and applies no update. Its messages would hold the channel's lines for ever, and
+// other proxies' updates with them: its stream is ended once the oldest acknowledgement is overdue.
 TEST(Core, AProxyThatLivesAndDoesNotApplyIsCutOff) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -127,8 +129,8 @@
   EXPECT_FALSE(rig.is_closed(good));
 }
 
-// A stranger announces a long frame and sends it slowly, on many streams: before the handshake each may make the
-// assigner hold only what a hello needs.
+// A stranger announces a long frame and sends it slowly, on many streams: before the handshake each may make
+// the assigner hold only what a hello needs.
 TEST(Core, WhoHasNotSaidWhoHeIsGetsLittleMemory) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -146,8 +148,8 @@
   EXPECT_EQ(rig.core.counters().reports, 1u);
 }
 
-// A proxy's network breaks for a moment, and it dials again before the assigner notices that the former stream is
-// dead. The newer stream of the same run takes the place of the older one.
+// A proxy's network breaks for a moment, and it dials again before the assigner notices that the former
+// stream is dead. The newer stream of the same run takes the place of the older one.
 TEST(Core, TheSameRunDialsAgainAndReplacesItsOldStream) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -161,8 +163,8 @@
   EXPECT_EQ(rig.core.proxies(), 1u);
 }
 
-// A second proxy is started with an id that is in use. If it pushed the first one out, the first would dial again
-// and push it out in turn, for ever. The second is refused while the first lives.
+// A second proxy is started with an id that is in use. If it pushed the first one out, the first would dial
+// again and push it out in turn, for ever. The second is refused while the first lives.
 TEST(Core, ASecondProxyByTheSameNameIsRefusedWhileTheFirstLives) {
   Rig rig;
   rig.list(list_line("total", 1, {2}));
@@ -178,8 +180,8 @@
   EXPECT_FALSE(rig.is_closed(successor));
 }
 
-// A proxy disconnects while a message to it waits for its turn in the channel. The message is dropped and counted;
-// the others keep their places.
+// A proxy disconnects while a message to it waits for its turn in the channel. The message is dropped and
+// counted; the others keep their places.
 TEST(Core, MessagesLeaveAtTheChannelsPaceAndAreDroppedWithTheirStream) {
   Rig rig;
   std::vector<std::uint32_t> many;
@@ -200,7 +202,8 @@
 }
 
 // The discovery service sends a list with one impossible value. Its other values can't be trusted either: the
-// list is rejected as a whole, the log says where it is wrong, and proxies keep the endpoints of the last good one.
+// list is rejected as a whole, the log says where it is wrong, and proxies keep the endpoints of the last
+// good one.
 TEST(Core, ABadListIsRefusedAsAWholeAndTheLastGoodOneStays) {
   Rig rig;
   rig.list(list_line("total", 1, {2, 4}));
@@ -245,8 +248,8 @@
   EXPECT_EQ(again.got<channel::Welcome>(p)[0].epoch, 2u);
 }
 
-// Somebody who is not in the settings says that he is a peer, or a peer's instance comes from another address: its
-// notes would reach the controllers, so it is refused.
+// Somebody who is not in the settings says that he is a peer, or a peer's instance comes from another
+// address: its notes would reach the controllers, so it is refused.
 TEST(Core, PeersAreDialledAndOnlyKnownOnesAreLetIn) {
   Rig rig;
   rig.turn();
@@ -265,8 +268,8 @@
   EXPECT_TRUE(rig.is_closed(unknown));
 }
 
-// More clients connect than the settings allow, as after a broken deployment: those beyond the limit are refused,
-// and those there stay.
+// More clients connect than the settings allow, as after a broken deployment: those beyond the limit are
+// refused, and those there stay.
 TEST(Core, MoreStreamsThanAllowedAreTurnedAway) {
   Rig rig;
   std::vector<StreamId> all;
@@ -290,8 +293,8 @@
 }
 
 // Seeded faults for simulated minutes: proxies register, fall silent, break off and send rubbish; lists come,
-// drain endpoints and are lost. Whatever happens, updates come in sequence, the queue keeps its limit, and once it
-// is calm all proxies are served.
+// drain endpoints and are lost. Whatever happens, updates come in sequence, the queue keeps its limit, and
+// once it is calm all proxies are served.
 TEST(Core, KeepsItsWordThroughSeededFaults) {
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
     Rig rig;
--- a/tests/platform/ack_tracker_test.cpp
+++ b/tests/platform/ack_tracker_test.cpp
@@ -47,8 +47,8 @@
   EXPECT_TRUE(acks.has_unacknowledged(kFirst));
 }
 
-// The channel was slow, so a nonce was released before its ack came. The ack is late and no error of the proxy.
-// A nonce that was never sent on the stream is one.
+// The channel was slow, so a nonce was released before its ack came. The ack is late and no error of the
+// proxy. A nonce that was never sent on the stream is one.
 TEST_F(AckTrackerTest, ALateAckIsToldFromAnUnknownOne) {
   std::uint32_t nonce = send(kFirst, kFirstProxy, 0);
   acks.release_oldest(kFirst, 100);
--- a/tests/platform/session_table_test.cpp
+++ b/tests/platform/session_table_test.cpp
@@ -17,8 +17,8 @@
   EXPECT_FALSE(table.eviction_candidate());
 }
 
-// Strangers connect by the hundred and say nothing. The oldest goes first, for it had its time; a proxy that is
-// registered stays, however old.
+// Strangers connect by the hundred and say nothing. The oldest goes first, for it had its time; a proxy that
+// is registered stays, however old.
 TEST(SessionTable, TheOldestUnregisteredSessionMakesRoom) {
   SessionTable table(kSockets);
   for (std::uint64_t k = 1; k <= kMaxSessions + 1; ++k) table.add(ConnectionId{k}, 0);
--- a/tests/platform/update_writer_test.cpp
+++ b/tests/platform/update_writer_test.cpp
@@ -77,8 +77,9 @@
   EXPECT_EQ(parts[0].classes, 0u);
 }
 
-// The controller names an endpoint that the directory has forgotten. A proxy ends a stream that names one which
-// discovery never listed, so it is left out; the message goes out all the same, for the controller counted it.
+// The controller names an endpoint that the directory has forgotten. A proxy ends a stream that names one
+// which discovery never listed, so it is left out; the message goes out all the same, for the controller
+// counted it.
 TEST_F(UpdateWriterTest, AnEndpointWithoutAUidIsNeverNamed) {
   writer.apply(AssignTable{kBoth, kProxy, kTable});
   static_cast<void>(writer.take_messages());
