--- a/src/alerts/promql.cpp
+++ b/src/alerts/promql.cpp
@@ -103,7 +103,8 @@
 
 using ExprPtr = std::shared_ptr<const Expr>;
 using Tree = pegtl::parse_tree::node;
-constexpr std::int64_t kLookbackMs = 5 * 60 * 1000;  // how old a sample may be and still be the present one
+constexpr std::int64_t kLookbackMs =
+    std::int64_t{5} * 60 * 1000;  // how old a sample may be and still be the present one
 using telemetry::kName;
 using telemetry::label_of;
 
--- a/src/audit/sabotage.cpp
+++ b/src/audit/sabotage.cpp
@@ -63,7 +63,7 @@
           given.insert({line->table, line->endpoint});
       if (now - s->first < kEmptyAfter) return;
       for (auto& [table, endpoint] : given)
-        orders.push_back(channel::WeightUpdate{.table = table, .endpoint = endpoint});
+        orders.emplace_back(channel::WeightUpdate{.table = table, .endpoint = endpoint});
     };
   }
   throw std::invalid_argument("sabotage is drain, twice, cold, queue or empty, not '" + std::string(name) +
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -182,7 +182,7 @@
   auto disk = versions_of(beginning_of(a));
   config_stream::VersionHistory history = config_stream::VersionStore::read_history(*disk);
   for (const config_stream::HistoryRecord& r : history.records()) {
-    std::time_t seconds = static_cast<std::time_t>(r.wall_ms / 1000);
+    auto seconds = static_cast<std::time_t>(r.wall_ms / 1000);
     fmt::print("{:%Y-%m-%d %H:%M:%S}  version {} ({:016x}) {}", fmt::gmtime(seconds), r.number, r.hash,
                config_stream::kind_name(r.kind));
     bool back = r.kind == config_stream::HistoryRecord::Kind::reverted ||
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace CLI {
+namespace CLI {  // NOLINT(readability-identifier-naming): the library's own name
 class App;
 }
 
--- a/src/config/value.cpp
+++ b/src/config/value.cpp
@@ -391,7 +391,10 @@
           out->items.push_back(value(*part, closed, path));
           if (!out->items.back()) return nullptr;  // the fault is noted
         }
-        if (node.rest && !(out->rest = value(*node.rest, closed, path))) return nullptr;
+        if (node.rest) {
+          out->rest = value(*node.rest, closed, path);
+          if (!out->rest) return nullptr;
+        }
         return out;
       case Node::Kind::all_of: {
         ValuePtr all = value(*node.parts[0], closed, path);
@@ -518,7 +521,10 @@
     case Tree::Kind::structure:
       out += "{\n";
       for (auto& [name, field] : tree.fields) {
-        out += indent + "  " + name + ": ";
+        out += indent;
+        out += "  ";
+        out += name;
+        out += ": ";
         print_to(out, field, indent + "  ", origins);
       }
       out += indent + "}\n";
@@ -566,7 +572,7 @@
 void add_paths(const Node& node, const std::string& path, const Position& at,
                std::vector<std::pair<std::string, Position>>& out) {
   if (node.kind != Node::Kind::structure || (node.fields.empty() && !path.empty()))
-    return out.push_back({path, at});
+    return static_cast<void>(out.emplace_back(path, at));
   for (const FieldNode& f : node.fields) add_paths(*f.value, joined(path, f.name), f.at, out);
 }
 void add_paths(const Tree& tree, const std::string& path, std::vector<std::string>& out) {
--- a/src/day/script.cpp
+++ b/src/day/script.cpp
@@ -302,15 +302,14 @@
 }
 void Script::grow(
     const Trouble& t) {  // size: times as many servers; extra: share of the growth that traffic follows
-  std::size_t more =
-      static_cast<std::size_t>(std::llround((t.size - 1) * static_cast<double>(stage_.servers())));
+  auto more = static_cast<std::size_t>(std::llround((t.size - 1) * static_cast<double>(stage_.servers())));
   stage_.say(fmt::format("grow: {} more servers, new and cold", more));
   for (std::size_t k = 0; k < more; ++k)
     stage_.after(t.lasts * static_cast<double>(k) / static_cast<double>(more), [this, k, &t] {
       const ServerGroup& like = day_.servers[k % day_.servers.size()];
       stage_.add_cold_server(like);
       if (t.extra <= 0) return;
-      double now = static_cast<double>(stage_.servers());
+      auto now = static_cast<double>(stage_.servers());
       for (double& f : stage_.rate_factor()) f *= 1 + t.extra / (now - 1);
     });
 }
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -107,7 +107,8 @@
   };
 
   void send(StreamId s, const channel::Frame& frame) {
-    effects_.push_back(assigner::SendBytes{s, std::make_shared<const std::string>(channel::encode(frame))});
+    effects_.emplace_back(
+        assigner::SendBytes{s, std::make_shared<const std::string>(channel::encode(frame))});
   }
   void welcome(StreamId id, Stream& s, const channel::Hello& hello, Ms now) {
     auto& names = site_.policy.localities;
@@ -121,7 +122,7 @@
                               .report_period_ms = site_.policy.report_period.count()});
     std::vector<channel::Update> orders;
     for (std::uint32_t t : {0u, 1u})
-      if (classes_[t] != 0) orders.push_back(channel::AssignTableUpdate{classes_[t], t});
+      if (classes_[t] != 0) orders.emplace_back(channel::AssignTableUpdate{classes_[t], t});
     tell(id, s, now, std::move(orders));
   }
   Lines wanted(std::uint32_t locality, bool home) const {
@@ -139,13 +140,13 @@
       if (classes_[t] == 0) continue;
       Lines want = wanted(s.locality, t == 1);
       for (auto& [endpoint, weight] : s.sent[t])
-        if (!want.contains(endpoint)) orders.push_back(channel::WeightUpdate{t, endpoint, 0});
+        if (!want.contains(endpoint)) orders.emplace_back(channel::WeightUpdate{t, endpoint, 0});
       for (auto& [endpoint, weight] : want) {
         auto had = s.sent[t].find(endpoint);
         if (had != s.sent[t].end() && had->second == weight) continue;
         const assigner::EndpointListEntry& e = *book_.find(endpoint);
-        orders.push_back(channel::WeightUpdate{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
-                                               e.cell, e.address.ip, e.address.port});
+        orders.emplace_back(channel::WeightUpdate{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
+                                                  e.cell, e.address.ip, e.address.port});
       }
       s.sent[t] = std::move(want);
     }
--- a/src/gate/prove.cpp
+++ b/src/gate/prove.cpp
@@ -166,7 +166,7 @@
       refuse("rule 1", "streams.most",
              fmt::format("{} streams are open: who must dial again would be turned away", fleet_.streams),
              std::to_string(fleet_.streams));
-    double servers = static_cast<double>(fleet_.servers.size());
+    auto servers = static_cast<double>(fleet_.servers.size());
     double report = servers * kHeardBytes + static_cast<double>(p_.classes.size()) * 14 + 64;
     if (static_cast<double>(next_.most_frame) < report)
       refuse(
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -26,8 +26,10 @@
     double all = 0, below = 0;
     for (auto&& x : boost::histogram::indexed(counts_)) all += *x;
     if (all <= 0) return 0;
-    for (auto&& x : boost::histogram::indexed(counts_))
-      if ((below += *x) >= part * all) return std::min(most_, x.bin().upper());
+    for (auto&& x : boost::histogram::indexed(counts_)) {
+      below += *x;
+      if (below >= part * all) return std::min(most_, x.bin().upper());
+    }
     return most_;
   }
   decltype(boost::histogram::make_histogram(Axis(kBins, kLeast, kMost))) counts_ =
--- a/src/measure/emulator.cpp
+++ b/src/measure/emulator.cpp
@@ -125,7 +125,7 @@
     emulator::Emulated e = emulator::emulate(day, {});
     double took = (base::monotonic_ms() - begun) / 1000;
     double events = static_cast<double>(e.events) / took;
-    double floor = ideal(static_cast<std::size_t>(3 * proxies), e.events);
+    double floor = ideal(3 * static_cast<std::size_t>(proxies), e.events);
     fmt::print("{},{},{:.0f},{:.0f},{:.0f},{:.3f},{}\n", servers, proxies,
                static_cast<double>(e.asked) / took, events, floor, events / floor,
                base::peak_memory_bytes() >> 20);
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -160,7 +160,7 @@
     // An assigner does not answer reports: a ping behind each tells when it has been read.
     if (!echoing_) s.connection->send(channel::encode(channel::Ping{++s.report}));
   }
-  void send_report(Stream& s, Ms span) {
+  void send_report(Stream& s, Ms span) const {
     channel::LoadReportMessage report{.sequence = ++s.report, .interval_ms = span};
     for (std::uint32_t e = 0; e < 10; ++e)  // ten endpoints and three classes: as a proxy of a day reports
       report.endpoints.push_back(
@@ -178,7 +178,7 @@
 
 class Bench {
  public:
-  explicit Bench(const Options& o) : o_(o) {
+  explicit Bench(Options o) : o_(std::move(o)) {
     std::string pattern = (std::filesystem::temp_directory_path() / "beamshunt-measure-XXXXXX").string();
     if (!::mkdtemp(pattern.data())) throw std::runtime_error("cannot make a folder at " + pattern);
     folder_ = pattern;
--- a/src/standin/control.cpp
+++ b/src/standin/control.cpp
@@ -210,7 +210,7 @@
   for (auto& [id, peer] : peers_) {
     if (!peer.subscribed) continue;
     Delivery d = whole(v);
-    constexpr std::size_t kPiece = 256 * 1024;
+    constexpr std::size_t kPiece = std::size_t{256} * 1024;
     d.parts = static_cast<std::uint32_t>(bytes / kPiece + 1);
     for (d.part = 0; d.part < d.parts; ++d.part) {
       d.changed[{"limits", "huge" + std::to_string(d.part)}] = std::string(kPiece, 'x');
--- a/src/standin/list.cpp
+++ b/src/standin/list.cpp
@@ -37,8 +37,7 @@
 
 void ListService::open() {
   http_ = std::make_unique<http::Server>(
-      world_.reactor, at_,
-      [this](http::Message&& m, http::Responder r) { handle(std::move(m), std::move(r)); },
+      world_.reactor, at_, [this](http::Message&& m, const http::Responder& r) { handle(std::move(m), r); },
       http::Server::Options{});
   at_ = http_->address();
 }
--- a/src/standin/proxy_model.cpp
+++ b/src/standin/proxy_model.cpp
@@ -108,8 +108,10 @@
     double sum = 0;
     for (auto* line : open) sum += line->weight;
     double at = std::uniform_real_distribution<double>(0, sum)(random_);
-    for (auto* line : open)
-      if ((at -= line->weight) < 0) return line;
+    for (auto* line : open) {
+      at -= line->weight;
+      if (at < 0) return line;
+    }
     return open.back();
   };
   if (spec_.pick == Pick::round) {
--- a/src/standin/receiver.cpp
+++ b/src/standin/receiver.cpp
@@ -14,7 +14,7 @@
 using telemetry::kName;
 using telemetry::label_of;
 
-constexpr std::size_t kMostUnpacked = 32 * 1048576;
+constexpr std::size_t kMostUnpacked = std::size_t{32} * 1048576;
 constexpr std::size_t kMostFaults = 20;
 
 }  // namespace
@@ -119,7 +119,7 @@
         out.push_back(fmt::format("assigner {}: nothing for {:.0f} ms", label_of(labels, "instance"), apart));
     }
   }
-  if (looks.empty()) out.push_back("no series at all");
+  if (looks.empty()) out.emplace_back("no series at all");
   for (auto& [labels, samples] : store.series()) {
     const auto& times = looks[label_of(labels, "instance")];
     std::set<std::int64_t> had;
--- a/tests/alerts/alerts_test.cpp
+++ b/tests/alerts/alerts_test.cpp
@@ -17,11 +17,12 @@
 
 Store stage() {
   Store s;
-  for (int t = 0; t <= 600; t += 10) {
+  for (std::int64_t t = 0; t <= 600; t += 10) {
     s.add(series("up", {{"job", "a"}}), t * 1000, 1);
-    s.add(series("reqs", {{"job", "a"}, {"zone", "x"}}), t * 1000, t * 2);
-    s.add(series("reqs", {{"job", "a"}, {"zone", "y"}}), t * 1000, t * 3);
-    s.add(series("reqs", {{"job", "b"}, {"zone", "x"}}), t * 1000, t < 300 ? t * 1 : (t - 300));
+    s.add(series("reqs", {{"job", "a"}, {"zone", "x"}}), t * 1000, static_cast<double>(t * 2));
+    s.add(series("reqs", {{"job", "a"}, {"zone", "y"}}), t * 1000, static_cast<double>(t * 3));
+    s.add(series("reqs", {{"job", "b"}, {"zone", "x"}}), t * 1000,
+          static_cast<double>(t < 300 ? t * 1 : (t - 300)));
   }
   return s;
 }
@@ -119,7 +120,7 @@
                 {{"severity", "page"}},
                 {{"summary", "{{ $labels.z }} is {{ $value }}"}},
                 ""}});
-  auto look = [&](int seconds, double value) {
+  auto look = [&](std::int64_t seconds, double value) {
     s.add(series("t", {{"z", "north"}}), seconds * 1000, value);
     return e.look(s, seconds * 1000);
   };
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -209,7 +209,7 @@
   rig.list(list_line("total", 1, {2, 4}));
   StreamId p = rig.join(0);
   rig.live({p}, 300);
-  for (std::string bad :
+  for (const std::string& bad :
        {std::string("rubbish"), std::string("{}"), list_line("total", 2, {2, 2}), list_line("odd", 2, {2}),
         list_line("total", 2, {2}, "asleep"),
         std::string(R"({"kind":"total","version":2,"entries":[{"id":-4}]})"),
--- a/tests/assigner/rig.h
+++ b/tests/assigner/rig.h
@@ -12,7 +12,7 @@
 
 namespace beamshunt::assigner::test {
 
-inline const char* kSite = R"(
+inline constexpr const char* kSite = R"(
 home: "north"
 listen: channel: "127.10.0.1:7000"
 discovery: "127.10.0.1:7100"
@@ -120,7 +120,7 @@
       if (l.event != event) continue;
       if (part.empty()) return true;
       for (auto& [name, value] : l.fields)
-        if (value.find(part) != value.npos) return true;
+        if (value.find(part) != std::string::npos) return true;
     }
     return false;
   }
--- a/tests/assigner/streamed_configuration_test.cpp
+++ b/tests/assigner/streamed_configuration_test.cpp
@@ -139,7 +139,7 @@
     rig.live({rig.join(0)}, 300);
     rig.core.reconfigure(next, 2, 99, rig.now);
     EXPECT_EQ(rig.core.handover_in_progress(), takes_effect(path) == TakesEffect::fresh_module) << path;
-    EXPECT_TRUE(rig.core.take_effects().size() > 0);
+    EXPECT_FALSE(rig.core.take_effects().empty());
   }
 }
 
@@ -167,9 +167,8 @@
     }
   }
   bool has(std::uint32_t endpoint) {
-    for (auto& [c, table] : of_class)
-      if (tables[table].contains(endpoint)) return true;
-    return false;
+    return std::ranges::any_of(of_class,
+                               [&](auto& entry) { return tables[entry.second].contains(endpoint); });
   }
 };
 
--- a/tests/audit/rules_test.cpp
+++ b/tests/audit/rules_test.cpp
@@ -47,7 +47,7 @@
   static channel::WeightUpdate line(std::uint32_t endpoint, double weight = 1) {
     return {.table = 0, .endpoint = endpoint, .weight = weight};
   }
-  Verdict verdict() { return judge(taps, limits()); }
+  Verdict verdict() const { return judge(taps, limits()); }
 };
 
 TEST(Audit, AnOrdinarySceneKeepsAll) {
--- a/tests/flight_record/flight_record_test.cpp
+++ b/tests/flight_record/flight_record_test.cpp
@@ -59,7 +59,7 @@
   Flight f;
   Time at{Duration(f.now + 500)};
   auto actions = f.controller.handle(at, {TimerFired{0}});
-  actions.push_back(LogMessage{"something that was never decided"});
+  actions.emplace_back(LogMessage{"something that was never decided"});
   ReplayResult r = replay(f.file + encode_batch(at, {TimerFired{0}}, actions));
   EXPECT_FALSE(r.same());
   EXPECT_NE(r.difference.find("recorded remark something that was never decided, now nothing"),
--- a/tests/gate/changes.h
+++ b/tests/gate/changes.h
@@ -16,7 +16,7 @@
   Fleet fleet = Fleet::warm;
 };
 
-inline const char* kPresent = R"(
+inline constexpr const char* kPresent = R"(
 home: "north"
 listen: channel: "127.10.0.1:7000"
 discovery: "127.10.0.1:7100"
@@ -41,17 +41,17 @@
 inline std::string classes(const std::string& read, const std::string& buy, const std::string& pay) {
   return "site: classes: [" + read + ", " + buy + ", " + pay + "]";
 }
-inline const char* kRead = R"({name: "read", slo: 500ms, deadline: 2s, semantics: "retryable"})";
-inline const char* kBuy = R"({name: "buy", slo: 500ms, deadline: 2s, worth: 3, semantics: "dedup",
+inline constexpr const char* kRead = R"({name: "read", slo: 500ms, deadline: 2s, semantics: "retryable"})";
+inline constexpr const char* kBuy = R"({name: "buy", slo: 500ms, deadline: 2s, worth: 3, semantics: "dedup",
     dedup: {scope: "cell", window: 3s}})";
-inline const char* kPay = R"({name: "pay", slo: 500ms, deadline: 2s, worth: 3})";
+inline constexpr const char* kPay = R"({name: "pay", slo: 500ms, deadline: 2s, worth: 3})";
 inline std::string buy(const std::string& dedup, const std::string& slo = "500ms") {
   return "{name: \"buy\", slo: " + slo + ", deadline: 4s, worth: 3, semantics: \"dedup\", dedup: " + dedup +
          "}";
 }
 inline std::string localities(const std::string& list) { return "site: localities: [" + list + "]"; }
-inline const char* kNorth = R"({name: "north", prefixes: ["127.10.0.0/16"]})";
-inline const char* kSouth = R"({name: "south", prefixes: ["127.20.0.0/16"]})";
+inline constexpr const char* kNorth = R"({name: "north", prefixes: ["127.10.0.0/16"]})";
+inline constexpr const char* kSouth = R"({name: "south", prefixes: ["127.20.0.0/16"]})";
 
 inline std::vector<Change> harmful() {
   std::vector<Change> out;
--- a/tests/platform/service_test.cpp
+++ b/tests/platform/service_test.cpp
@@ -79,32 +79,32 @@
   void SetUp() override {
     const char* run = std::getenv("BEAMSHUNT_RUN");
     ASSERT_TRUE(run) << "BEAMSHUNT_RUN has the command that starts the assigner";
-    run_ = run;
-    folder_ = ::testing::TempDir() + "platform-" + std::to_string(::getpid());
+    run_line = run;
+    folder = ::testing::TempDir() + "platform-" + std::to_string(::getpid());
     net::Listener free_port(reactor, {kLoopback, 0}, [](auto) {});
     listen = free_port.address();
     configured = configuration();
     configured["listen"] = net::to_string(listen);
     configured["discovery"] = net::to_string(discovery.server.address());
   }
-  void write_configuration(const std::string& bytes) { base::replace_file(folder_ + ".json", bytes); }
+  void write_configuration(const std::string& bytes) { base::replace_file(folder + ".json", bytes); }
   void start(const std::string& log = {}) {
     write_configuration(configured.dump());
-    ::setenv("BALANCER_CONFIG", (folder_ + ".json").c_str(), 1);
-    child =
-        std::make_unique<process::Child>("/bin/sh", std::vector<std::string>{"-c", "ulimit -n 256; " + run_},
-                                         log.empty() ? folder_ + ".log" : log);
+    ::setenv("BALANCER_CONFIG", (folder + ".json").c_str(), 1);
+    child = std::make_unique<process::Child>("/bin/sh",
+                                             std::vector<std::string>{"-c", "ulimit -n 256; " + run_line},
+                                             log.empty() ? folder + ".log" : log);
   }
   void start_and_wait() {
     start();
     until("alive", [&] { return alive(); });
   }
   bool alive() {
-    if (!asks_ || asks_->over) {
-      asks_ = std::make_unique<Peer>(reactor, listen);
-      asks_->say({{"t", "probe"}});
+    if (!asking_peer || asking_peer->over) {
+      asking_peer = std::make_unique<Peer>(reactor, listen);
+      asking_peer->say({{"t", "probe"}});
     }
-    return !asks_->told("alive").empty();
+    return !asking_peer->told("alive").empty();
   }
   void until(const char* what, const std::function<bool()>& done, Ms most = 10000) {
     bool expired = false;
@@ -116,7 +116,7 @@
     auto first = reactor.at(reactor.now(), look);
     reactor.run();
     reactor.cancel(limit), reactor.cancel(first);
-    ASSERT_FALSE(expired) << what << "; log: " << base::read_file(folder_ + ".log").value_or("");
+    ASSERT_FALSE(expired) << what << "; log: " << base::read_file(folder + ".log").value_or("");
   }
   std::unique_ptr<Peer> join(int node) {
     auto peer = std::make_unique<Peer>(reactor, listen);
@@ -140,8 +140,8 @@
   net::Address listen;
   json configured;
   std::unique_ptr<process::Child> child;
-  std::string run_, folder_;
-  std::unique_ptr<Peer> asks_;
+  std::string run_line, folder;
+  std::unique_ptr<Peer> asking_peer;
 };
 
 TEST_F(PlatformProcess, TablesAndDrainsReachAProxyAndSigtermEndsItInOrder) {
@@ -196,7 +196,7 @@
   write_configuration("{\"name\":");
   child->signal(SIGHUP);
   until("a refusal in the log", [&] {
-    return base::read_file(folder_ + ".log").value_or("").find("configuration_rejected") != std::string::npos;
+    return base::read_file(folder + ".log").value_or("").find("configuration_rejected") != std::string::npos;
   });
   other.tell(list(6, false, {target("s-b", "north", "terminating")}));
   until("a drain by the new address", [&] { return !proxy->holds("s-b"); });
@@ -227,7 +227,7 @@
   auto former = std::make_unique<net::Listener>(reactor, listen, [](auto) {});
   start();
   until("that it waits", [&] {
-    return base::read_file(folder_ + ".log").value_or("").find("address_in_use") != std::string::npos;
+    return base::read_file(folder + ".log").value_or("").find("address_in_use") != std::string::npos;
   });
   EXPECT_FALSE(child->ended());
   former.reset();
@@ -236,7 +236,7 @@
 
 // Standard error is a full pipe that nobody reads. A write that blocked would stop the assigner.
 TEST_F(PlatformProcess, NothingWaitsOnALogThatNobodyReads) {
-  std::string pipe = folder_ + ".pipe";
+  std::string pipe = folder + ".pipe";
   ::unlink(pipe.c_str());
   ASSERT_EQ(::mkfifo(pipe.c_str(), 0600), 0);
   net::Fd reader(::open(pipe.c_str(), O_RDONLY | O_NONBLOCK));
@@ -319,7 +319,7 @@
   start();
   until("an end", [&] { return child->ended(); });
   EXPECT_EQ(child->stop(0), 2);
-  EXPECT_NE(base::read_file(folder_ + ".log").value_or("").find("family_info.agents is missing"),
+  EXPECT_NE(base::read_file(folder + ".log").value_or("").find("family_info.agents is missing"),
             std::string::npos);
 }
 
--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -154,11 +154,11 @@
     f.start(kFour);
     vector<Event> joins;
     for (unsigned p = 1; p <= kProxies; ++p)
-      joins.push_back(ProxyRegistered{ProxyId(p), Locality(0), 20, false});
+      joins.emplace_back(ProxyRegistered{ProxyId(p), Locality(0), 20, false});
     send(joins);
   }
-  void send(vector<Event> events) {
-    f.send(std::move(events));
+  void send(const vector<Event>& events) {
+    f.send(events);
     std::set<ProxyId> reached;
     if (!Fleet::only<SetWeight>(f.last).empty()) reached = bound;
     for (const AssignTable& b : Fleet::only<AssignTable>(f.last))
@@ -170,7 +170,7 @@
   void step() {
     f.now += Duration(100);
     vector<Event> events{TimerFired{}};
-    for (int k = 0; k < 3 && !channel.empty(); ++k, channel.pop_front()) events.push_back(channel.front());
+    for (int k = 0; k < 3 && !channel.empty(); ++k, channel.pop_front()) events.emplace_back(channel.front());
     send(events);
   }
   void list(vector<ListedEndpoint> entries) {
@@ -213,7 +213,7 @@
   EXPECT_EQ(r.f.line(1, 0, 11), 0);
   vector<Event> leave;  // a queue this small has room for ordinary lines to a third of them
   for (unsigned p = 21; p <= MassRejoin::kProxies; ++p)
-    leave.push_back(ProxyDisconnected{ProxyId(p)}), r.bound.erase(ProxyId(p));
+    leave.emplace_back(ProxyDisconnected{ProxyId(p)}), r.bound.erase(ProxyId(p));
   r.send(leave);
   for (int k = 0; k < 100; ++k) r.step();
   EXPECT_GT(r.f.line(1, 0, 13), 0) << "and they come when all are bound";
--- a/tests/policy/scale_test.cpp
+++ b/tests/policy/scale_test.cpp
@@ -26,7 +26,7 @@
   vector<Event> events;
   for (unsigned p = 0; p < proxies; ++p) {
     f.zones[p] = p % 2;
-    events.push_back(ProxyRegistered{ProxyId(p), Locality(p % 2), rate, true});
+    events.emplace_back(ProxyRegistered{ProxyId(p), Locality(p % 2), rate, true});
   }
   f.send(events);
 }
--- a/tests/telemetry/buffer_test.cpp
+++ b/tests/telemetry/buffer_test.cpp
@@ -13,8 +13,7 @@
 namespace beamshunt::telemetry {
 namespace {
 
-class BufferTest : public ::testing::Test {
- protected:
+struct BufferTest : ::testing::Test {
   std::string folder =
       (std::filesystem::temp_directory_path() / ("beamshunt-buffer-" + std::to_string(::getpid()))).string();
   BufferTest() { std::filesystem::remove_all(folder); }
@@ -147,7 +146,7 @@
 // all the same.
 TEST_F(BufferTest, AgeIsABoundToo) {
   Buffer b(folder, {.segment_bytes = 300, .age_ms = 1000});
-  for (int k = 0; k < 50; ++k) b.append(scrape(k * 100));
+  for (int k = 0; k < 50; ++k) b.append(scrape(std::int64_t{k} * 100));
   EXPECT_GE(times(b.read({}, 100)).front(), 4900 - 1000 - 300);
   EXPECT_GT(b.dropped_samples(), 0u);
 }
