--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -35,7 +35,9 @@
   net::Address discovery;
   std::uint64_t seed = 0;   // for random numbers, new with each start
   std::size_t sockets = 0;  // descriptors that this process may hold
-  std::string cached_list;  // discovery's object as this assigner last had it; empty: none
+  // Discovery's object as this assigner last had it, given by the platform (`known`); empty: none. This
+  // process stores nothing itself.
+  std::string cached_list;
   settings::Values values;  // the settings by path, as given
   Settings settings;        // the same, decoded
   settings::Names names;    // of localities and classes
--- a/src/platform/core.h
+++ b/src/platform/core.h
@@ -73,8 +73,11 @@
                               std::string_view body) {
     health_checks_.on_result(endpoint, id, outcome, duration, body);
   }
-  // Another configuration holds from now on, but for its listen address. Where the settings differ a new
-  // controller takes over.
+  // Another configuration holds from now on, but for its listen address, which waits for the next start.
+  // Where the settings differ a new controller takes over. It knows the endpoint list, the registered proxies
+  // and what the former one's messages still hold of the channel; ejections, limits and estimates are
+  // dropped. Where classes, localities or the number of proxies differ, the proxies are disconnected first
+  // and register again.
   void reconfigure(Configuration next, Ms now);
 
   // ---- Room for connections ----
--- a/src/policy/admission_control.cpp
+++ b/src/policy/admission_control.cpp
@@ -17,13 +17,13 @@
 // overload.
 constexpr double kGrowthByHeadroom = 0.3;
 // A rate grows only while it is under this multiple of its class's throughput; beyond, it binds nobody.
-constexpr double kMostRateOverThroughput = 2;
+constexpr double kMaxRateOverThroughput = 2;
 // Report periods in a row above the threshold before a cut: a shorter pause is not overload.
 constexpr int kPeriodsBeforeCut = 3;
 // Headroom (part of capacity) from which on the fleet needs better weights, not cuts.
-constexpr double kLeastHeadroom = 0.15;
+constexpr double kMinHeadroom = 0.15;
 // Least successful part of attempts that a cut reckons with: an endpoint that fails fast fails often.
-constexpr double kLeastSuccessShare = 0.5;
+constexpr double kMinSuccessShareInCut = 0.5;
 // The rate of a class that was never cut.
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
@@ -75,14 +75,14 @@
           .value_or(FleetAverages{.fail_share = 0, .slowdown = 1, .threshold = 1, .headroom = 0});
 
   // Capacity is what succeeded: attempts that fail there are demand, not proof of capacity.
-  double success_share = std::max(kLeastSuccessShare, 1 - averages.fail_share);
+  double success_share = std::max(kMinSuccessShareInCut, 1 - averages.fail_share);
   double capacity = 0;
   for (double rate : bottleneck->demand) capacity += (1 - kAlpha) * rate * success_share;
   std::vector<double> fair = max_min_shares(capacity, bottleneck->demand);
 
   // Endpoints far slower than the rest are drained by their weights. Cuts wait until the fleet is full and
   // slow as a whole.
-  bool fleet_overloaded = averages.headroom < kLeastHeadroom && averages.slowdown > averages.threshold;
+  bool fleet_overloaded = averages.headroom < kMinHeadroom && averages.slowdown > averages.threshold;
   int overloaded_periods = bottleneck->endpoint->periods_over_threshold;
   bool cut = overloaded_periods >= kPeriodsBeforeCut && fleet_overloaded && now >= next_cut_;
   if (cut) {
@@ -100,7 +100,7 @@
     }
     bool held = fleet_overloaded && overloaded_periods > 0;
     if (rate >= kNoLimit || held) continue;
-    if (rate < kMostRateOverThroughput * throughput) {
+    if (rate < kMaxRateOverThroughput * throughput) {
       rate *= 1 + kBeta + kGrowthByHeadroom * averages.headroom;
     } else {
       rate = kNoLimit;
@@ -128,21 +128,24 @@
   double throughput = demand.of_class(request_class);
   if (rate == kNoLimit || throughput <= 0 || group.members.empty()) return kUnlimitedRate;
   if (settings_.admission_limit_kind == AdmissionLimitKind::share) return rate / throughput;
-  double unused = rate * group.admitted[request_class] / throughput;
+  double group_rate = rate * group.admitted[request_class] / throughput;
   std::vector<double> arrivals;
   arrivals.reserve(group.members.size());
   for (ProxyId id : group.members) arrivals.push_back(proxies.at(id).arrivals[request_class]);
   double largest = 0;
-  for (double share : max_min_shares(unused, arrivals)) {
+  double left_over = group_rate;
+  for (double share : max_min_shares(group_rate, arrivals)) {
     largest = std::max(largest, share);
-    unused -= share;
+    left_over -= share;
   }
-  return largest + unused;
+  return largest + left_over;
 }
 
-// Rule 4 where weights can't help: while all endpoints that a table may use are warming up (a local-only
-// class after a loss), its proxies admit what is guaranteed of the listed capacity that is back. The list
-// names one endpoint seconds before the rest, so that capacity counts against all that is listed.
+// The warm-up guarantee (rule 4) where weights can't help: while all endpoints that a table may use are
+// warming up (a local-only class after its locality was lost), its proxies admit the guaranteed part of their
+// capacity. Endpoints come back one by one, so what is back is compared with all that are known, those
+// removed in the last minute included. Without a class's own expected rate the proxy's is split equally over
+// the classes.
 double AdmissionControl::warm_up_limit(Locality own, const ProxyGroup& group, bool local_only,
                                        const FleetView& fleet) {
   auto [share, is_new] = warm_shares_.try_emplace({own, local_only}, 1);
--- a/src/policy/admission_control.h
+++ b/src/policy/admission_control.h
@@ -1,19 +1,21 @@
-// Admission control: the BFAIR step and the limits that proxies get.
+// Admission control: the BFAIR step (cut the classes above their fair share at the slowest endpoint) and the
+// limits that proxies get.
 //
 // Question: how many requests of each class may the fleet admit, and each proxy of a group?
 // Inputs: demand (requests a second), slowdown, threshold and headroom of endpoints, the failed part of
 // attempts, the slow-start factor.
 // Rules:
 //  - once a second the bottleneck is the endpoint with the highest slowdown over its threshold. While it and
-//    the fleet as a whole are overloaded, classes above their max-min fair share of (1 - alpha) of the
-//    bottleneck's demand are cut by share over demand; all other limited classes grow, and are freed once
-//    they bind nobody;
+//    the fleet as a whole are overloaded, classes above their max-min fair share of (1 - alpha) x success
+//    share of the bottleneck's demand are cut by share over demand: only after three report periods over the
+//    threshold, and not before the effect of the last cut can show in reports. All other limited classes
+//    grow, and become unlimited at twice their throughput;
 //  - a class's rate is split over proxy groups by throughput, and within a group max-min to a limit a proxy;
 //  - while all endpoints that a table may use are warming up (a local-only class after its locality was
 //    lost), its proxies get no more than is guaranteed.
 // Reasons: Retro (Mace and others, NSDI 2015, section 5.1, Algorithm 1). A fleet with headroom needs better
 // weights, not cuts: cutting whole classes for one slow endpoint would refuse work that the others can do.
-// Rule 4 where weights can't help.
+// The warm-up guarantee (rule 4) where weights can't help: limits are the last resort.
 // It never chooses endpoints and never changes weights.
 #pragma once
 
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -109,8 +109,11 @@
     add_actions(shards.assign_owners(registry.endpoints(), slow_start, now));
     return std::exchange(actions, {});
   }
-  // A changed list does not wait for the next period; after a period it is published once more.
-  if (period_due || std::exchange(list_changed, false)) publish();
+  // A changed list does not wait for the next period. One that changed in a period's own reply stays marked,
+  // and is published again in the next reply: its priority updates may find room then.
+  bool due = period_due || list_changed;
+  if (!period_due) list_changed = false;
+  if (due) publish();
   assign_proxies();
   if (auto sequence_number = budget.close(now)) actions.emplace_back(AckRequest{*sequence_number, false});
   return std::exchange(actions, {});
--- a/src/policy/failure_evidence.h
+++ b/src/policy/failure_evidence.h
@@ -8,6 +8,6 @@
 constexpr double kCommonFailShare = 0.2;
 
 // Attempts. Fewer failures may be chance and are no evidence against an endpoint.
-constexpr double kLeastFailures = 3;
+constexpr double kMinFailures = 3;
 
 }  // namespace beamshunt
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -17,12 +17,12 @@
 // Part of the adjustment's exponent that a step leaves: an adjustment without cause fades within seconds.
 constexpr double kAdjustmentFading = 0.8;
 // Bounds of the weight adjustment: an endpoint is not drained, nor flooded, for its slowdown alone.
-constexpr double kLeastAdjustment = 0.2;
-constexpr double kMostAdjustment = 2;
+constexpr double kMinAdjustment = 0.2;
+constexpr double kMaxAdjustment = 2;
 // Successful attempts since the last step at which a step counts half: a few say little.
 constexpr double kConfidenceAttempts = 8;
 // Least slowdown that is reckoned with: keeps the power finite.
-constexpr double kLeastSlowdown = 0.01;
+constexpr double kMinSlowdown = 0.01;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
   for (auto& [id, endpoint] : endpoints) {
     double relative_slowdown = 1;
     if (estimator.is_current(endpoint, now)) {
-      relative_slowdown = std::max(LoadEstimator::slowdown(endpoint), kLeastSlowdown) / mean;
+      relative_slowdown = std::max(LoadEstimator::slowdown(endpoint), kMinSlowdown) / mean;
     }
     double successes = std::exchange(endpoint.successes_since_adjustment, 0);
     double confidence = successes / (successes + kConfidenceAttempts);
@@ -40,7 +40,7 @@
     if (in_dead_band) relative_slowdown = 1;
     double faded = std::pow(endpoint.weight_adjustment, kAdjustmentFading);
     double step = std::pow(relative_slowdown, -kWeightGain * confidence);
-    endpoint.weight_adjustment = std::clamp(faded * step, kLeastAdjustment, kMostAdjustment);
+    endpoint.weight_adjustment = std::clamp(faded * step, kMinAdjustment, kMaxAdjustment);
   }
 }
 
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -30,13 +30,13 @@
 // Part of the counts of attempts that remains after one report period: outcomes of a few seconds count.
 constexpr double kCountFading = 0.7;
 // Least successful part of attempts that a slowdown is divided by: one endpoint can't look endlessly slow.
-constexpr double kLeastSuccessShare = 0.2;
+constexpr double kMinSuccessShareInSlowdown = 0.2;
 // Part of the tightest latency objective that queueing takes at the threshold T: work then still succeeds.
 constexpr double kThresholdPart = 0.3;
 // Milliseconds: keeps the threshold finite for a baseline near zero.
-constexpr double kLeastBaseline = 1;
+constexpr double kMinBaseline = 1;
 // Utilization below which a capacity can't be derived: the quotient would be noise.
-constexpr double kLeastUtilization = 0.1;
+constexpr double kMinUtilization = 0.1;
 // Utilization at which an endpoint has no headroom: no core is left for the next request.
 constexpr double kFullUtilization = 0.85;
 // Weight of one step's sample of an endpoint's own capacity: the sample is noisy and late.
@@ -44,8 +44,8 @@
 // The same for all endpoints of one listed size together: their mean is less noisy.
 constexpr double kCommonCapacitySmoothing = 0.5;
 // Bounds of the relative capacity: a listed size is not wrong by more.
-constexpr double kLeastRelativeCapacity = 0.1;
-constexpr double kMostRelativeCapacity = 4;
+constexpr double kMinRelativeCapacity = 0.1;
+constexpr double kMaxRelativeCapacity = 4;
 
 }  // namespace
 
@@ -120,14 +120,14 @@
 }
 
 bool LoadEstimator::tells_capacity(const Endpoint& endpoint, const SlowStart& slow_start, Time now) const {
-  if (!is_current(endpoint, now) || endpoint.utilization < kLeastUtilization) return false;
+  if (!is_current(endpoint, now) || endpoint.utilization < kMinUtilization) return false;
   // The speed of an endpoint that is warming up will not last.
   return endpoint.success_rate > 0 && endpoint.listed.capacity > 0 && slow_start.factor(endpoint, now) >= 1;
 }
 
 double LoadEstimator::over_mean(double full_rate, double listed_capacity, const CapacitySample& fleet) {
   return std::clamp(full_rate / listed_capacity * fleet.listed_capacity / fleet.full_rate,
-                    kLeastRelativeCapacity, kMostRelativeCapacity);
+                    kMinRelativeCapacity, kMaxRelativeCapacity);
 }
 
 void LoadEstimator::learn_relative_capacity(EndpointMap& endpoints, const SlowStart& slow_start, Time now) {
@@ -158,8 +158,8 @@
       smooth(endpoint.own_capacity_factor,
              over_mean(full_rate, endpoint.listed.capacity, fleet) / common->second, kOwnCapacitySmoothing);
     }
-    endpoint.relative_capacity = std::clamp(common->second * endpoint.own_capacity_factor,
-                                            kLeastRelativeCapacity, kMostRelativeCapacity);
+    endpoint.relative_capacity =
+        std::clamp(common->second * endpoint.own_capacity_factor, kMinRelativeCapacity, kMaxRelativeCapacity);
   }
 }
 
@@ -170,18 +170,17 @@
 
 double LoadEstimator::fail_share(const Endpoint& endpoint) {
   Path all = endpoint.all_paths();
-  return all.attempts() >= kLeastFailures ? all.failed / all.attempts() : 0;
+  return all.attempts() >= kMinFailures ? all.failed / all.attempts() : 0;
 }
 
 double LoadEstimator::slowdown(const Endpoint& endpoint) {
   if (endpoint.baseline_latency <= 0) return 1;
-  double success_share = std::max(kLeastSuccessShare, 1 - fail_share(endpoint));
+  double success_share = std::max(kMinSuccessShareInSlowdown, 1 - fail_share(endpoint));
   return endpoint.latency / endpoint.baseline_latency / success_share;
 }
 
 double LoadEstimator::threshold(const Endpoint& endpoint) const {
-  return 1 +
-         kThresholdPart * tightest_objective_.count() / std::max(endpoint.baseline_latency, kLeastBaseline);
+  return 1 + kThresholdPart * tightest_objective_.count() / std::max(endpoint.baseline_latency, kMinBaseline);
 }
 
 double LoadEstimator::headroom(const Endpoint& endpoint) const {
--- a/src/policy/locality_spillover.cpp
+++ b/src/policy/locality_spillover.cpp
@@ -13,9 +13,9 @@
 constexpr double kSpilloverGain = 0.7;
 // Part of the load that stays, at least: local endpoints go on being tried, and a network cut would otherwise
 // leave tables that name remote endpoints only.
-constexpr double kLeastLocalShare = 0.2;
+constexpr double kMinLocalShare = 0.2;
 // Least utilization that is reckoned with: keeps the power finite.
-constexpr double kLeastUtilization = 0.01;
+constexpr double kMinUtilization = 0.01;
 // Keeps quotients finite where a locality has no load or no capacity.
 constexpr double kEpsilon = 1e-9;
 
@@ -45,9 +45,8 @@
                       static_cast<double>(utilization_.size());
   for (std::size_t z = 0; z < utilization_.size(); ++z) {
     double over_mean =
-        std::max(utilization_[z], kLeastUtilization) / std::max(mean_utilization_, kSpilloverUtilization);
-    local_share_[z] =
-        std::clamp(local_share_[z] * std::pow(over_mean, -kSpilloverGain), kLeastLocalShare, 1.0);
+        std::max(utilization_[z], kMinUtilization) / std::max(mean_utilization_, kSpilloverUtilization);
+    local_share_[z] = std::clamp(local_share_[z] * std::pow(over_mean, -kSpilloverGain), kMinLocalShare, 1.0);
   }
 }
 
@@ -70,7 +69,7 @@
   double movable = demand.that_may_leave(here);
   double excess = std::clamp(load[here] - capacity[here] * mean, 0.0, movable);
   // Some stays where there are endpoints for it: a cut would leave a table bare that is all remote.
-  double least = std::min(kLeastLocalShare, capacity[here] * mean / std::max(load[here], kEpsilon));
+  double least = std::min(kMinLocalShare, capacity[here] * mean / std::max(load[here], kEpsilon));
   double local_share = settings_.local_proxies_only
                            ? local_share_[here]
                            : std::max(least, 1 - excess / std::max(movable, kEpsilon));
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -14,7 +14,7 @@
 // Report periods without a success that make failures the sign of a dead endpoint.
 constexpr int kPeriodsWithoutSuccess = 2;
 // Part of the listed capacity that has to stay: beyond it, ejections would do more harm than the endpoints.
-constexpr double kLeastCapacityLeft = 0.4;
+constexpr double kMinCapacityLeft = 0.4;
 // First ejection; each relapse doubles it, so that an endpoint that keeps failing is tried ever more rarely.
 constexpr Duration kFirstEjection{3000};
 // Doublings, at most: a repaired endpoint is back within half a minute.
@@ -44,7 +44,8 @@
   LocalityView view;
   for (const auto& [id, endpoint] : endpoints) {
     if (!endpoint.available()) continue;
-    double counted = is_ejected(endpoint, from) ? -kLeastCapacityLeft : 1 - kLeastCapacityLeft;
+    // 60% of the available capacity may be ejected, less what already is.
+    double counted = is_ejected(endpoint, from) ? -kMinCapacityLeft : 1 - kMinCapacityLeft;
     view.ejectable_capacity += endpoint.listed.capacity * counted;
     view.health_checks_answered |= endpoint.listed.locality == from && endpoint.health_check_run > 0;
     auto path = endpoint.paths.find(from);
@@ -84,6 +85,7 @@
 OutlierDetector::Evidence OutlierDetector::evidence(Locality from, const Endpoint& endpoint, const Path& path,
                                                     const LocalityView& view, double others_fail_share,
                                                     Duration report_interval, Time now) const {
+  // Two periods and the usual interval, but two intervals at the least: a large fleet reports seldom.
   Duration report_due = std::max(kPeriodsWithoutSuccess * settings_.report_period + report_interval,
                                  kPeriodsWithoutSuccess * report_interval);
   // Health checks may expire at an endpoint that is only overloaded: they count where a report that was due
@@ -94,10 +96,10 @@
   if (silent) return Evidence::health_checks_fail;
   Duration without_success = path.last_report - path.last_success;
   if (without_success < kPeriodsWithoutSuccess * settings_.report_period) return Evidence::none;
-  if (path.failed >= kLeastFailures) return Evidence::attempts_fail;
+  if (path.failed >= kMinFailures) return Evidence::attempts_fail;
   // A few attempts a second fade before they are many: what counts is how many failed in a row, and how
   // unlikely that would be of an endpoint that fails like the others.
-  bool unlikely = path.failed_since_success >= kLeastFailures && without_success >= report_due &&
+  bool unlikely = path.failed_since_success >= kMinFailures && without_success >= report_due &&
                   std::pow(others_fail_share, path.failed_since_success) < kFalsePositiveProbability;
   return unlikely ? Evidence::attempts_fail : Evidence::none;
 }
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -11,7 +11,9 @@
 //    missing;
 //  - never while the others fail as well (a common cause), and never so that less than 40% of the listed
 //    capacity is left;
-//  - readmitted after a time that doubles with each relapse, once health checks succeed.
+//  - readmitted after 3 s, doubled for each earlier ejection since the endpoint's start (24 s at most), and,
+//    where health checks are allowed, only after two successes in a row; a new start time in the endpoint
+//    list lifts an ejection at once.
 // Reason: a hung endpoint returns no answers, so no latency shows it, and load balancing alone would keep it.
 // It never judges an endpoint by its latency and never changes weights.
 #pragma once
--- a/src/policy/shard_assignment.cpp
+++ b/src/policy/shard_assignment.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Least listed capacity that is reckoned with: keeps the quotient finite.
-constexpr double kLeastCapacity = 1e-3;
+constexpr double kMinCapacity = 1e-3;
 
 }  // namespace
 
@@ -58,7 +58,7 @@
     if (now < shard.move_at) continue;
     auto best = std::ranges::min_element(endpoints, {}, [&](const auto& entry) {
       const Endpoint& endpoint = entry.second;
-      double capacity = std::max(endpoint.listed.capacity, kLeastCapacity);
+      double capacity = std::max(endpoint.listed.capacity, kMinCapacity);
       bool warming_up = slow_start.factor(endpoint, now) < 1;
       return std::tuple{!endpoint.available(), warming_up, owned[entry.first] / capacity};
     });
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -10,7 +10,7 @@
 // Part of the warm-up time that a readmitted endpoint takes: it may have restarted unseen, or only been slow.
 constexpr double kReadmissionDivisor = 2;
 // Requests a second: keeps a quotient finite where there is no load.
-constexpr double kLeastLoad = 1e-9;
+constexpr double kMinLoad = 1e-9;
 
 }  // namespace
 
@@ -49,7 +49,7 @@
         rate_per_capacity * endpoint.listed.capacity * endpoint.relative_capacity * factor(endpoint, now);
   }
   if (capacity <= 0) return 1;
-  return std::min(1.0, capacity / std::max({load, demand.total(), kLeastLoad}));
+  return std::min(1.0, capacity / std::max({load, demand.total(), kMinLoad}));
 }
 
 }  // namespace beamshunt
--- a/src/policy/subsetter.cpp
+++ b/src/policy/subsetter.cpp
@@ -11,7 +11,7 @@
 // Expected rates within one band differ by at most this factor: a shared limit fits all of them.
 constexpr double kBandRatio = 4;
 // Entries of a table, at least, however seldom its proxies send: some endpoints may fail.
-constexpr double kLeastEntries = 8;
+constexpr double kMinEntries = 8;
 // Subsetting rounds, that is, tables of a band that hold one endpoint: with two, subsets overlap, and the
 // load that one table's proxies bring can be balanced by another's.
 constexpr int kRounds = 2;
@@ -62,7 +62,7 @@
     if (endpoint.listed.locality == key.locality) local += 1;
   }
   // A locality that lost its endpoints has no say: its tables hold remote ones.
-  double most_subsets = (local < kLeastEntries ? all : local) / kLeastEntries;
+  double most_subsets = (local < kMinEntries ? all : local) / kMinEntries;
   return static_cast<int>(std::min(all / std::max(1.0, std::min(kept_open, fitting)), most_subsets));
 }
 
--- a/src/policy/update_scheduler.cpp
+++ b/src/policy/update_scheduler.cpp
@@ -12,7 +12,7 @@
 // A weight or limit is published once it moved by over this part: smaller changes are not worth a line.
 constexpr double kPublishedChange = 0.1;
 // Keeps the comparison meaningful for a value of 0.
-constexpr double kLeastValue = 1e-9;
+constexpr double kMinValue = 1e-9;
 // Part of its published weight to which an entry has to fall for a priority update: an endpoint restarted.
 constexpr double kPriorityFall = 0.5;
 // Parts of the queue (Settings::max_queued_lines) that each kind may fill: what is more pressing finds room
@@ -24,7 +24,7 @@
 constexpr double kPriorityMessagePart = 0.7;
 constexpr double kOrdinaryMessagePart = 0.6;
 // Least time between ordinary updates of a group: weights and rates change once a second.
-constexpr Duration kLeastInterval{1000};
+constexpr Duration kMinInterval{1000};
 // Messages in a window: a number that is never reached, where the channel has no limit.
 constexpr double kUnlimitedMessages = 1e6;
 // Lines of the AckRequest that ends a message, and of the entry that assigns a table.
@@ -32,7 +32,7 @@
 constexpr double kAssignmentLines = 1;
 
 bool has_moved(double from, double to) {
-  return std::abs(to - from) > kPublishedChange * std::max(from, kLeastValue);
+  return std::abs(to - from) > kPublishedChange * std::max(from, kMinValue);
 }
 
 bool is_full(const std::vector<Action>& update, const UpdateRequest& request) {
@@ -50,7 +50,7 @@
 }  // namespace
 
 std::vector<ProxyGroupMap::value_type*> UpdateScheduler::begin_publication(ProxyGroupMap& groups) {
-  removal_waits_ = false;
+  removal_waits_for_lines_ = false;
   std::vector<ProxyGroupMap::value_type*> order;
   order.reserve(groups.size());
   for (auto& entry : groups) order.push_back(&entry);
@@ -66,7 +66,7 @@
       settings_.max_messages_per_window > 0 ? settings_.max_messages_per_window : kUnlimitedMessages;
   Duration even_spacing = settings_.message_window / allowed;
   Duration ordinary_interval =
-      std::max({kLeastInterval, settings_.report_period, even_spacing / kOrdinaryMessagePart});
+      std::max({kMinInterval, settings_.report_period, even_spacing / kOrdinaryMessagePart});
 
   Duration since =
       now - std::max(group.last_ordinary_update, priority ? group.last_priority_update : kLongAgo);
@@ -127,7 +127,7 @@
     if (table.desired.contains(entry.first)) return false;
     if (priority && effective_weight(fleet.endpoints.at(entry.first), own, fleet) > 0) return false;
     if (is_full(update, request)) {
-      removal_waits_ |= priority;
+      removal_waits_for_lines_ |= priority;
       return false;
     }
     update.emplace_back(SetWeight{table.id, entry.first, 0});
@@ -156,7 +156,7 @@
 }
 
 bool UpdateScheduler::may_assign(Time now) const {
-  if (removal_waits_) return false;
+  if (removal_waits_for_lines_) return false;
   return budget_.queued_lines(now) <= kAssignmentQueuePart * settings_.max_queued_lines;
 }
 
--- a/src/policy/update_scheduler.h
+++ b/src/policy/update_scheduler.h
@@ -9,9 +9,9 @@
 //    their place are priority updates and go first; all else is ordinary and goes at most once a period;
 //  - priority updates, assignments and ordinary updates each may fill their part of the queue; a write stops
 //    where it is full and goes on later;
-//  - groups that waited longest are written first;
-//  - while a removal waits for room, no proxy is assigned; while proxies wait, entries in place of removed
-//    ones wait, unless under half of a table is left.
+//  - groups whose last ordinary update is longest ago are written first, for both kinds;
+//  - while a removal waits for lines in the channel, no proxy is assigned; while proxies wait, entries in
+//    place of removed ones wait, unless under half of a table is left.
 // Reasons: rules 3 (drains) and 4 (warm-up) can't wait for the ordinary pace; rule 5 limits the queue and the
 // messages. Where many proxies register as endpoints drain, assignments that fill the channel as it empties
 // would keep out the removals for all of them.
@@ -73,7 +73,7 @@
 
   const Settings& settings_;
   ChannelBudget& budget_;
-  bool removal_waits_ = false;  // an entry had to go in the last publication and found no room
+  bool removal_waits_for_lines_ = false;  // an entry had to go in the last publication and found no room
   int next_table_ = 0;
 };
 
