--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -1,8 +1,8 @@
 // The order channel's frames, cut at a place that the input chooses.
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
-  using namespace beamshunt::channel;
+  using namespace beamshunt::native_protocol;
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   std::size_t cut = size > 0 ? data[0] % size : 0;
   FrameParser parser(4096);
--- a/src/assigner/action_executor.cpp
+++ b/src/assigner/action_executor.cpp
@@ -28,7 +28,7 @@
       targets_.effects.emplace_back(SendHealthCheckRequest{x.endpoint, entry->address});
   }
   void operator()(const SendPeerMessage& x) {
-    if (x.payload.size() > channel::kMaxPeerNoteBytes) return;  // peers would refuse the stream
+    if (x.payload.size() > native_protocol::kMaxPeerNoteBytes) return;  // peers would refuse the stream
     targets_.protocol.send_peer_note(x.peer, x.to_all_peers, std::string(x.payload.begin(), x.payload.end()),
                                      now_);
   }
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -72,7 +72,7 @@
 
 // ---- Sessions ----
 
-void Core::proxy_registered(const Session& session, Locality locality, const channel::Hello& hello) {
+void Core::proxy_registered(const Session& session, Locality locality, const native_protocol::Hello& hello) {
   ProxyId proxy{session.id};
   handover_.register_proxy(proxy);
   handover_.newest().pending.emplace_back(
@@ -97,21 +97,22 @@
   }
 }
 
-void Core::load_report_received(const Session& session, const channel::LoadReportMessage& report, Ms now) {
+void Core::load_report_received(const Session& session, const native_protocol::LoadReportMessage& report,
+                                Ms now) {
   ++counters_.reports;
   counters_.report_lines += report.endpoints.size() + report.demand.size();
   Locality from = locality_of(session);
   Ms begin = now - report.interval_ms;
-  for (const channel::EndpointReportEntry& entry : report.endpoints) {
+  for (const native_protocol::EndpointReportEntry& entry : report.endpoints) {
     if (endpoints_.find(entry.endpoint)) reports_.add_endpoint_report(from, entry, begin, now);
     else ++counters_.unknown_endpoints;
   }
   metrics_.add_report(from, report, endpoints_, now);
-  for (const channel::DemandReportEntry& entry : report.demand)
+  for (const native_protocol::DemandReportEntry& entry : report.demand)
     reports_.add_demand_report(ProxyId(session.id), entry, begin, now);
 }
 
-void Core::peer_note_received(std::uint32_t instance, const channel::PeerNote& note) {
+void Core::peer_note_received(std::uint32_t instance, const native_protocol::PeerNote& note) {
   handover_.deliver(PeerMessage{instance, {note.payload.begin(), note.payload.end()}});
 }
 
@@ -263,14 +264,14 @@
 
 // One message for each proxy concerned; they leave one after the other at the channel's pace.
 void Core::enqueue_message(std::uint32_t controller, SessionTable::Iterator session,
-                           std::vector<channel::Update> updates, Ms now) {
+                           std::vector<native_protocol::Update> updates, Ms now) {
   Session& s = session->second;
-  channel::UpdateMessage message{.sequence = ++s.update_sequence, .decided_at_ms = now};
+  native_protocol::UpdateMessage message{.sequence = ++s.update_sequence, .decided_at_ms = now};
   message.lines = site_.policy.message_overhead_lines + static_cast<double>(updates.size());
   UnacknowledgedMessage unacknowledged{
       .sequence = message.sequence, .decided_at = now, .lines = message.lines, .controller = controller};
-  for (const channel::Update& update : updates) {
-    if (const auto* request = std::get_if<channel::AckRequestUpdate>(&update))
+  for (const native_protocol::Update& update : updates) {
+    if (const auto* request = std::get_if<native_protocol::AckRequestUpdate>(&update))
       unacknowledged.ack_requests.push_back(request->sequence_number);
     unacknowledged.removes_endpoint |= metrics_.removes_closed_endpoint(update);
   }
@@ -283,7 +284,7 @@
   handover_.count_message(controller, ProxyId{s.id});
   protocol_.message_enqueued(session, std::move(unacknowledged));
   channel_.enqueue(
-      {leaves_at, session->first, std::make_shared<const std::string>(channel::encode(message))});
+      {leaves_at, session->first, std::make_shared<const std::string>(native_protocol::encode(message))});
 }
 
 void Core::send_due_messages(Ms now) {
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -29,8 +29,9 @@
 
 // What may change a message between the controller and the wire: audits prove themselves by it. Never in
 // service.
-using MessageInterceptor = std::function<void(
-    Ms now, std::uint32_t proxy, std::vector<channel::Update>& updates, const EndpointCatalog& endpoints)>;
+using MessageInterceptor =
+    std::function<void(Ms now, std::uint32_t proxy, std::vector<native_protocol::Update>& updates,
+                       const EndpointCatalog& endpoints)>;
 
 // All times are of one monotonic clock, in milliseconds, and never go back; `wall_now` is since 1970.
 class Core final : private SessionListener {
@@ -88,13 +89,14 @@
 
  private:
   // ---- SessionListener ----
-  void proxy_registered(const Session& session, Locality locality, const channel::Hello& hello) override;
+  void proxy_registered(const Session& session, Locality locality,
+                        const native_protocol::Hello& hello) override;
   void proxy_disconnected(ProxyId proxy) override;
   void messages_acknowledged(ProxyId proxy, const std::vector<UnacknowledgedMessage>& messages,
                              Ms now) override;
-  void load_report_received(const Session& session, const channel::LoadReportMessage& report,
+  void load_report_received(const Session& session, const native_protocol::LoadReportMessage& report,
                             Ms now) override;
-  void peer_note_received(std::uint32_t instance, const channel::PeerNote& note) override;
+  void peer_note_received(std::uint32_t instance, const native_protocol::PeerNote& note) override;
 
   [[nodiscard]] CoreView view() const;
   [[nodiscard]] Locality locality_of(const Session& session) const;
@@ -104,7 +106,7 @@
   void retire_replaced_controllers();
   void enqueue_messages(std::uint32_t controller, Ms now);
   void enqueue_message(std::uint32_t controller, SessionTable::Iterator session,
-                       std::vector<channel::Update> updates, Ms now);
+                       std::vector<native_protocol::Update> updates, Ms now);
   void send_due_messages(Ms now);
   [[nodiscard]] bool keeps_record() const { return !site_.record_file.empty(); }
   void append_record(std::string bytes);
--- a/src/assigner/core_metrics.cpp
+++ b/src/assigner/core_metrics.cpp
@@ -28,15 +28,15 @@
 
 }  // namespace
 
-void CoreMetrics::add_report(Locality from, const channel::LoadReportMessage& report,
+void CoreMetrics::add_report(Locality from, const native_protocol::LoadReportMessage& report,
                              const EndpointCatalog& endpoints, Ms now) {
-  for (const channel::DemandReportEntry& entry : report.demand) {
+  for (const native_protocol::DemandReportEntry& entry : report.demand) {
     ServiceTotals& totals = service_[{raw(from), entry.request_class}];
     totals.arrivals += entry.arrivals;
     totals.failed += entry.failed;
     totals.within_objective += entry.within_objective;
   }
-  for (const channel::EndpointReportEntry& entry : report.endpoints) {
+  for (const native_protocol::EndpointReportEntry& entry : report.endpoints) {
     if (!endpoints.find(entry.endpoint)) continue;
     // Attempts fade out over a second: a rate whatever the proxies' report periods and number.
     EndpointActivity& activity = activity_[entry.endpoint];
@@ -70,8 +70,8 @@
   }
 }
 
-bool CoreMetrics::removes_closed_endpoint(const channel::Update& update) const {
-  const auto* weight = std::get_if<channel::WeightUpdate>(&update);
+bool CoreMetrics::removes_closed_endpoint(const native_protocol::Update& update) const {
+  const auto* weight = std::get_if<native_protocol::WeightUpdate>(&update);
   return weight && weight->weight <= 0 && closed_since_.contains(weight->endpoint);
 }
 
--- a/src/assigner/core_metrics.h
+++ b/src/assigner/core_metrics.h
@@ -22,8 +22,8 @@
 class CoreMetrics {
  public:
   // ---- What happened ----
-  void add_report(Locality from, const channel::LoadReportMessage& report, const EndpointCatalog& endpoints,
-                  Ms now);
+  void add_report(Locality from, const native_protocol::LoadReportMessage& report,
+                  const EndpointCatalog& endpoints, Ms now);
   void endpoint_changed(std::uint32_t endpoint, bool available, Ms now);
   void proxy_removed(ProxyId proxy) { without_endpoints_since_.erase(proxy); }
   void controller_logged(const LogMessage& message);
@@ -31,7 +31,7 @@
   void limit_set(const assignments::AssignmentTables& tables, const SetAdmissionLimit& action);
 
   // Whether the update takes weight from an endpoint that is draining or removed.
-  [[nodiscard]] bool removes_closed_endpoint(const channel::Update& update) const;
+  [[nodiscard]] bool removes_closed_endpoint(const native_protocol::Update& update) const;
   [[nodiscard]] const EndpointActivity* activity(std::uint32_t endpoint) const;  // null: none reported
   // Requests that arrived since the start, by class.
   [[nodiscard]] std::vector<double> arrivals_by_class(std::size_t class_count) const;
--- a/src/assigner/report_intake.cpp
+++ b/src/assigner/report_intake.cpp
@@ -12,8 +12,8 @@
   return found->second;
 }
 
-void ReportIntake::add_endpoint_report(Locality from, const channel::EndpointReportEntry& entry, Ms begin,
-                                       Ms end) {
+void ReportIntake::add_endpoint_report(Locality from, const native_protocol::EndpointReportEntry& entry,
+                                       Ms begin, Ms end) {
   Sum& s = sum(EndpointKey{from, EndpointId(entry.endpoint)}, begin, end);
   double successful = entry.attempts - entry.failed;
   double successful_before = s.total - s.failed;
@@ -25,7 +25,7 @@
   if (!entry.load.empty()) s.load = LoadReport(entry.load.begin(), entry.load.end());
 }
 
-void ReportIntake::add_demand_report(ProxyId proxy, const channel::DemandReportEntry& entry, Ms begin,
+void ReportIntake::add_demand_report(ProxyId proxy, const native_protocol::DemandReportEntry& entry, Ms begin,
                                      Ms end) {
   Sum& s = sum(DemandKey{proxy, ClassId(entry.request_class)}, begin, end);
   s.total += entry.arrivals;
--- a/src/assigner/report_intake.h
+++ b/src/assigner/report_intake.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 #include "policy/controller.h"
 
 namespace beamshunt::assigner {
@@ -25,8 +25,9 @@
 
   void set_rate(double entries_per_second) { entries_per_second_ = entries_per_second; }
   // Attempts from proxies of a locality at an endpoint within [begin, end].
-  void add_endpoint_report(Locality from, const channel::EndpointReportEntry& entry, Ms begin, Ms end);
-  void add_demand_report(ProxyId proxy, const channel::DemandReportEntry& entry, Ms begin, Ms end);
+  void add_endpoint_report(Locality from, const native_protocol::EndpointReportEntry& entry, Ms begin,
+                           Ms end);
+  void add_demand_report(ProxyId proxy, const native_protocol::DemandReportEntry& entry, Ms begin, Ms end);
   // The proxy has disconnected: what it reported of its own requests concerns nobody any more.
   void forget_proxy(ProxyId proxy);
   // EndpointReports and DemandReports that may go out now: the rate times the time since the last call, a
--- a/src/assigner/session.cpp
+++ b/src/assigner/session.cpp
@@ -4,7 +4,7 @@
 
 namespace beamshunt::assigner {
 
-using channel::kHeartbeatsUntilDead;
+using native_protocol::kHeartbeatsUntilDead;
 
 Ms Session::next_check(const SessionTimeouts& timeouts) const {
   if (state == SessionState::handshake_pending) return opened_at + timeouts.handshake;
--- a/src/assigner/session.h
+++ b/src/assigner/session.h
@@ -7,7 +7,7 @@
 #include "assigner/ack_tracker.h"
 #include "assigner/message_history.h"
 #include "base/time.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 #include "net/address.h"
 
 namespace beamshunt::assigner {
@@ -38,7 +38,7 @@
 struct Session {
   SessionState state = SessionState::handshake_pending;
   net::Address address{};  // of the other side
-  channel::FrameParser parser;
+  native_protocol::FrameParser parser;
   Ms opened_at = 0;
   Ms last_received_at = 0;
   Ms last_sent_at = 0;
--- a/src/assigner/session_protocol.cpp
+++ b/src/assigner/session_protocol.cpp
@@ -8,8 +8,8 @@
 namespace beamshunt::assigner {
 namespace {
 
-using channel::kHeartbeatsUntilDead;
-using channel::RefuseCode;
+using native_protocol::kHeartbeatsUntilDead;
+using native_protocol::RefuseCode;
 
 // Between dials of one peer: soon enough for gossip, seldom enough for a peer that is down.
 constexpr Ms kRedialInterval = 500;
@@ -40,7 +40,7 @@
 void SessionProtocol::opened(StreamId stream, net::Address peer, Ms now) {
   auto session = sessions_.open(stream, now);
   session->second.address = peer;
-  session->second.parser = channel::FrameParser(kMaxHandshakeFrameBytes);
+  session->second.parser = native_protocol::FrameParser(kMaxHandshakeFrameBytes);
   sessions_.schedule_check(session, timeouts());
   if (stopping_) return refuse(session, RefuseCode::stopping, kStoppingReason, 0, now);
   if (sessions_.size() > site_.most_streams)
@@ -53,9 +53,9 @@
 
 void SessionProtocol::peer_dialled(StreamId stream, std::uint32_t instance, Ms now) {
   auto session = sessions_.open(stream, now);
-  session->second.parser = channel::FrameParser(site_.most_frame);
+  session->second.parser = native_protocol::FrameParser(site_.most_frame);
   sessions_.register_dialled_peer(session, instance);
-  send_frame(session, channel::PeerHello{.instance = site_.instance}, now);
+  send_frame(session, native_protocol::PeerHello{.instance = site_.instance}, now);
 }
 
 void SessionProtocol::bytes_received(StreamId stream, std::string_view bytes, Ms now) {
@@ -64,12 +64,12 @@
   session->second.last_received_at = now;
   session->second.parser.push(bytes);
   try {
-    while (std::optional<channel::Frame> frame = session->second.parser.next()) {
+    while (std::optional<native_protocol::Frame> frame = session->second.parser.next()) {
       handle_frame(session, *frame, now);
       session = sessions_.find(stream);
       if (session == sessions_.end()) return;
     }
-  } catch (const channel::ProtocolError& error) {
+  } catch (const native_protocol::ProtocolError& error) {
     return refuse(session, error.code, fmt::format("at byte {}: {}", error.offset, error.what()), 0, now);
   }
   sessions_.schedule_check(session, timeouts());
@@ -84,8 +84,8 @@
 
 // ---- Frames ----
 
-void SessionProtocol::handle_frame(Iterator session, const channel::Frame& frame, Ms now) {
-  if (const auto* refused = std::get_if<channel::Refuse>(&frame)) {
+void SessionProtocol::handle_frame(Iterator session, const native_protocol::Frame& frame, Ms now) {
+  if (const auto* refused = std::get_if<native_protocol::Refuse>(&frame)) {
     effects_.emplace_back(CloseStream{session->first});
     return end(session, "refused by the peer: " + refused->reason, now);
   }
@@ -104,50 +104,51 @@
   }
   if (handled) return;
   refuse(session, RefuseCode::unexpected,
-         fmt::format("a {} frame is out of place", channel::kind_name(frame)), 0, now);
+         fmt::format("a {} frame is out of place", native_protocol::kind_name(frame)), 0, now);
 }
 
-bool SessionProtocol::handle_heartbeat_frame(Iterator session, const channel::Frame& frame, Ms now) {
+bool SessionProtocol::handle_heartbeat_frame(Iterator session, const native_protocol::Frame& frame, Ms now) {
   if (session->second.state == SessionState::handshake_pending) return false;
-  if (const auto* ping = std::get_if<channel::Ping>(&frame)) {
-    send_frame(session, channel::Pong{ping->token}, now);
+  if (const auto* ping = std::get_if<native_protocol::Ping>(&frame)) {
+    send_frame(session, native_protocol::Pong{ping->token}, now);
     return true;
   }
-  return std::holds_alternative<channel::Pong>(frame);  // its bytes have shown that the other side lives
+  return std::holds_alternative<native_protocol::Pong>(
+      frame);  // its bytes have shown that the other side lives
 }
 
-bool SessionProtocol::handle_handshake_frame(Iterator session, const channel::Frame& frame, Ms now) {
-  if (const auto* hello = std::get_if<channel::Hello>(&frame)) {
+bool SessionProtocol::handle_handshake_frame(Iterator session, const native_protocol::Frame& frame, Ms now) {
+  if (const auto* hello = std::get_if<native_protocol::Hello>(&frame)) {
     register_proxy(session, *hello, now);
     return true;
   }
-  if (const auto* hello = std::get_if<channel::PeerHello>(&frame)) {
+  if (const auto* hello = std::get_if<native_protocol::PeerHello>(&frame)) {
     register_peer(session, *hello, now);
     return true;
   }
   return false;
 }
 
-bool SessionProtocol::handle_proxy_frame(Iterator session, const channel::Frame& frame, Ms now) {
-  if (const auto* acknowledgement = std::get_if<channel::Acknowledgement>(&frame)) {
+bool SessionProtocol::handle_proxy_frame(Iterator session, const native_protocol::Frame& frame, Ms now) {
+  if (const auto* acknowledgement = std::get_if<native_protocol::Acknowledgement>(&frame)) {
     handle_acknowledgement(session, *acknowledgement, now);
     return true;
   }
-  if (const auto* report = std::get_if<channel::LoadReportMessage>(&frame)) {
+  if (const auto* report = std::get_if<native_protocol::LoadReportMessage>(&frame)) {
     handle_load_report(session, *report, now);
     return true;
   }
   return false;
 }
 
-bool SessionProtocol::handle_peer_frame(const Session& session, const channel::Frame& frame) {
-  const auto* note = std::get_if<channel::PeerNote>(&frame);
+bool SessionProtocol::handle_peer_frame(const Session& session, const native_protocol::Frame& frame) {
+  const auto* note = std::get_if<native_protocol::PeerNote>(&frame);
   if (!note) return false;
   listener_.peer_note_received(session.id, *note);
   return true;
 }
 
-void SessionProtocol::register_proxy(Iterator session, const channel::Hello& hello, Ms now) {
+void SessionProtocol::register_proxy(Iterator session, const native_protocol::Hello& hello, Ms now) {
   Session& s = session->second;
   auto locality = site_.locality_of.find(s.address.ip);
   if (!locality)
@@ -171,7 +172,7 @@
   listener_.proxy_registered(s, Locality(*locality), hello);
 }
 
-bool SessionProtocol::replace_former_session(Iterator session, const channel::Hello& hello, Ms now) {
+bool SessionProtocol::replace_former_session(Iterator session, const native_protocol::Hello& hello, Ms now) {
   auto former = sessions_.find_proxy(ProxyId{hello.proxy});
   if (former == sessions_.end()) return true;
   const Session& f = former->second;
@@ -190,7 +191,7 @@
   return true;
 }
 
-void SessionProtocol::register_peer(Iterator session, const channel::PeerHello& hello, Ms now) {
+void SessionProtocol::register_peer(Iterator session, const native_protocol::PeerHello& hello, Ms now) {
   Session& s = session->second;
   bool known = std::any_of(site_.peers.begin(), site_.peers.end(), [&](const auto& peer) {
     return peer.first == hello.instance && peer.second.ip == s.address.ip;
@@ -207,7 +208,8 @@
 }
 
 void SessionProtocol::handle_acknowledgement(Iterator session,
-                                             const channel::Acknowledgement& acknowledgement, Ms now) {
+                                             const native_protocol::Acknowledgement& acknowledgement,
+                                             Ms now) {
   Session& s = session->second;
   if (acknowledgement.sequence > s.update_sequence)
     return refuse(
@@ -217,9 +219,10 @@
   listener_.messages_acknowledged(ProxyId{s.id}, s.acks.acknowledge(acknowledgement.sequence), now);
 }
 
-void SessionProtocol::handle_load_report(Iterator session, const channel::LoadReportMessage& report, Ms now) {
+void SessionProtocol::handle_load_report(Iterator session, const native_protocol::LoadReportMessage& report,
+                                         Ms now) {
   std::size_t class_count = site_.policy.classes.size();
-  for (const channel::DemandReportEntry& entry : report.demand)
+  for (const native_protocol::DemandReportEntry& entry : report.demand)
     if (entry.request_class >= class_count)
       return refuse(session, RefuseCode::unexpected,
                     fmt::format("a report on class {}, there are {}", entry.request_class, class_count), 0,
@@ -249,7 +252,7 @@
                0, now);
         break;
       case SessionCheck::ping_due:
-        send_frame(session, channel::Ping{s.update_sequence}, now);
+        send_frame(session, native_protocol::Ping{s.update_sequence}, now);
         break;
       case SessionCheck::nothing:
         sessions_.schedule_check(session, timeouts());
@@ -285,7 +288,8 @@
 void SessionProtocol::send_peer_note(std::uint32_t instance, bool all_peers, const std::string& payload,
                                      Ms now) {
   for (const auto& [peer, stream] : sessions_.dialled_peers())
-    if (all_peers || peer == instance) send_frame(sessions_.find(stream), channel::PeerNote{payload}, now);
+    if (all_peers || peer == instance)
+      send_frame(sessions_.find(stream), native_protocol::PeerNote{payload}, now);
 }
 
 void SessionProtocol::message_enqueued(Iterator session, UnacknowledgedMessage message) {
@@ -301,18 +305,18 @@
   return true;
 }
 
-void SessionProtocol::send_frame(Iterator session, const channel::Frame& frame, Ms now) {
+void SessionProtocol::send_frame(Iterator session, const native_protocol::Frame& frame, Ms now) {
   effects_.emplace_back(
-      SendBytes{session->first, std::make_shared<const std::string>(channel::encode(frame))});
+      SendBytes{session->first, std::make_shared<const std::string>(native_protocol::encode(frame))});
   session->second.last_sent_at = now;
   sessions_.schedule_check(session, timeouts());
 }
 
 void SessionProtocol::send_welcome(Iterator session, Ms now) {
   send_frame(session,
-             channel::Welcome{.epoch = epoch_,
-                              .heartbeat_ms = site_.heartbeat,
-                              .report_period_ms = site_.policy.report_period.count()},
+             native_protocol::Welcome{.epoch = epoch_,
+                                      .heartbeat_ms = site_.heartbeat,
+                                      .report_period_ms = site_.policy.report_period.count()},
              now);
 }
 
@@ -323,7 +327,7 @@
       {{"peer", net::to_string(session->second.address)},
        {"code", std::to_string(static_cast<int>(code))},
        {"reason", reason}});
-  send_frame(session, channel::Refuse{code, retry_after, reason}, now);
+  send_frame(session, native_protocol::Refuse{code, retry_after, reason}, now);
   effects_.emplace_back(CloseStream{session->first});
   end(session, reason, now);
 }
--- a/src/assigner/session_protocol.h
+++ b/src/assigner/session_protocol.h
@@ -13,21 +13,22 @@
 #include "assigner/counters.h"
 #include "assigner/effects.h"
 #include "assigner/session_table.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 namespace beamshunt::assigner {
 
 // Called from within SessionProtocol's methods; must not open, close or write to a session.
 class SessionListener {
  public:
-  virtual void proxy_registered(const Session& session, Locality locality, const channel::Hello& hello) = 0;
+  virtual void proxy_registered(const Session& session, Locality locality,
+                                const native_protocol::Hello& hello) = 0;
   virtual void proxy_disconnected(ProxyId proxy) = 0;
   virtual void messages_acknowledged(ProxyId proxy, const std::vector<UnacknowledgedMessage>& messages,
                                      Ms now) = 0;
   // Each of its classes exists.
-  virtual void load_report_received(const Session& session, const channel::LoadReportMessage& report,
+  virtual void load_report_received(const Session& session, const native_protocol::LoadReportMessage& report,
                                     Ms now) = 0;
-  virtual void peer_note_received(std::uint32_t instance, const channel::PeerNote& note) = 0;
+  virtual void peer_note_received(std::uint32_t instance, const native_protocol::PeerNote& note) = 0;
 
  protected:
   ~SessionListener() = default;
@@ -65,21 +66,23 @@
   using Iterator = SessionTable::Iterator;
 
   [[nodiscard]] SessionTimeouts timeouts() const;
-  void handle_frame(Iterator session, const channel::Frame& frame, Ms now);
+  void handle_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
   // Each returns whether the frame is one of its kind, in its place.
-  bool handle_heartbeat_frame(Iterator session, const channel::Frame& frame, Ms now);
-  bool handle_handshake_frame(Iterator session, const channel::Frame& frame, Ms now);
-  bool handle_proxy_frame(Iterator session, const channel::Frame& frame, Ms now);
-  bool handle_peer_frame(const Session& session, const channel::Frame& frame);
-  void register_proxy(Iterator session, const channel::Hello& hello, Ms now);
+  bool handle_heartbeat_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
+  bool handle_handshake_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
+  bool handle_proxy_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
+  bool handle_peer_frame(const Session& session, const native_protocol::Frame& frame);
+  void register_proxy(Iterator session, const native_protocol::Hello& hello, Ms now);
   // A session of the same proxy id makes room for the new one, or the new one is refused: then false.
-  bool replace_former_session(Iterator session, const channel::Hello& hello, Ms now);
-  void register_peer(Iterator session, const channel::PeerHello& hello, Ms now);
-  void handle_acknowledgement(Iterator session, const channel::Acknowledgement& acknowledgement, Ms now);
-  void handle_load_report(Iterator session, const channel::LoadReportMessage& report, Ms now);
-  void send_frame(Iterator session, const channel::Frame& frame, Ms now);
+  bool replace_former_session(Iterator session, const native_protocol::Hello& hello, Ms now);
+  void register_peer(Iterator session, const native_protocol::PeerHello& hello, Ms now);
+  void handle_acknowledgement(Iterator session, const native_protocol::Acknowledgement& acknowledgement,
+                              Ms now);
+  void handle_load_report(Iterator session, const native_protocol::LoadReportMessage& report, Ms now);
+  void send_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
   void send_welcome(Iterator session, Ms now);
-  void refuse(Iterator session, channel::RefuseCode code, const std::string& reason, Ms retry_after, Ms now);
+  void refuse(Iterator session, native_protocol::RefuseCode code, const std::string& reason, Ms retry_after,
+              Ms now);
   void end(Iterator session, const std::string& reason, Ms now);  // and all that it stood for
   void log(log::Level level, std::string event, log::Fields fields);
 
--- a/src/assigner/update_writer.cpp
+++ b/src/assigner/update_writer.cpp
@@ -8,7 +8,7 @@
 using base::raw;
 
 // Far more tables than a controller makes; what is left of the number's 32 bits tells controllers apart. The
-// last range stays free, for channel::kAllTables is in it.
+// last range stays free, for native_protocol::kAllTables is in it.
 constexpr std::uint32_t kTablesPerController = 1 << 16;
 constexpr std::uint32_t kControllerRanges = 0xffffffff / kTablesPerController - 1;
 
@@ -17,11 +17,11 @@
   ChannelUpdateVisitor(std::uint32_t controller, const EndpointCatalog& endpoints)
       : controller_(controller), endpoints_(endpoints) {}
 
-  channel::Update operator()(const assignments::TableAssigned& x) const {
-    return channel::AssignTableUpdate{x.classes, wire_table_id(controller_, x.table)};
+  native_protocol::Update operator()(const assignments::TableAssigned& x) const {
+    return native_protocol::AssignTableUpdate{x.classes, wire_table_id(controller_, x.table)};
   }
-  channel::Update operator()(const assignments::WeightChanged& x) const {
-    channel::WeightUpdate update{
+  native_protocol::Update operator()(const assignments::WeightChanged& x) const {
+    native_protocol::WeightUpdate update{
         .table = wire_table_id(controller_, x.table), .endpoint = raw(x.endpoint), .weight = x.weight};
     const EndpointListEntry* endpoint = endpoints_.find(update.endpoint);
     if (endpoint && x.weight > 0) {
@@ -32,16 +32,16 @@
     }
     return update;
   }
-  channel::Update operator()(const assignments::TableCleared& x) const {
-    return channel::ClearTableUpdate{wire_table_id(controller_, x.table)};
+  native_protocol::Update operator()(const assignments::TableCleared& x) const {
+    return native_protocol::ClearTableUpdate{wire_table_id(controller_, x.table)};
   }
-  channel::Update operator()(const assignments::LimitChanged& x) const {
-    return channel::AdmissionLimitUpdate{
-        x.all_tables ? channel::kAllTables : wire_table_id(controller_, x.table), x.classes, x.limit.limit,
-        static_cast<std::uint8_t>(x.limit.retry_mode)};
+  native_protocol::Update operator()(const assignments::LimitChanged& x) const {
+    return native_protocol::AdmissionLimitUpdate{
+        x.all_tables ? native_protocol::kAllTables : wire_table_id(controller_, x.table), x.classes,
+        x.limit.limit, static_cast<std::uint8_t>(x.limit.retry_mode)};
   }
-  channel::Update operator()(const assignments::EndpointExcluded& x) const {
-    return channel::ExcludeEndpointUpdate{raw(x.endpoint), x.excluded};
+  native_protocol::Update operator()(const assignments::EndpointExcluded& x) const {
+    return native_protocol::ExcludeEndpointUpdate{raw(x.endpoint), x.excluded};
   }
 
  private:
@@ -55,8 +55,8 @@
   return controller % kControllerRanges * kTablesPerController + raw(table);
 }
 
-channel::Update to_channel_update(std::uint32_t controller, const assignments::Update& update,
-                                  const EndpointCatalog& endpoints) {
+native_protocol::Update to_channel_update(std::uint32_t controller, const assignments::Update& update,
+                                          const EndpointCatalog& endpoints) {
   return std::visit(ChannelUpdateVisitor(controller, endpoints), update);
 }
 
@@ -64,7 +64,8 @@
                                 const SessionTable& sessions) {
   if (all_proxies)
     for (const auto& [proxy, stream] : sessions.proxies()) messages_.try_emplace(proxy);
-  for (auto& [proxy, updates] : messages_) updates.emplace_back(channel::AckRequestUpdate{sequence_number});
+  for (auto& [proxy, updates] : messages_)
+    updates.emplace_back(native_protocol::AckRequestUpdate{sequence_number});
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/update_writer.h
+++ b/src/assigner/update_writer.h
@@ -10,7 +10,7 @@
 #include "assigner/endpoint_catalog.h"
 #include "assigner/session_table.h"
 #include "assignments/assignment_tables.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 namespace beamshunt::assigner {
 
@@ -19,14 +19,14 @@
 std::uint32_t wire_table_id(std::uint32_t controller, TableId table);
 
 // The update as the protocol has it. A weight above 0 carries the endpoint's address from the list.
-channel::Update to_channel_update(std::uint32_t controller, const assignments::Update& update,
-                                  const EndpointCatalog& endpoints);
+native_protocol::Update to_channel_update(std::uint32_t controller, const assignments::Update& update,
+                                          const EndpointCatalog& endpoints);
 
 class UpdateWriter {
  public:
-  using Messages = std::map<ProxyId, std::vector<channel::Update>>;
+  using Messages = std::map<ProxyId, std::vector<native_protocol::Update>>;
 
-  void write(ProxyId proxy, const channel::Update& update) { messages_[proxy].push_back(update); }
+  void write(ProxyId proxy, const native_protocol::Update& update) { messages_[proxy].push_back(update); }
   // To the proxies that are written to anyway, and, with `all_proxies`, to each registered one.
   void request_acks(std::uint32_t sequence_number, bool all_proxies, const SessionTable& sessions);
   void discard(ProxyId proxy) { messages_.erase(proxy); }
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -133,7 +133,7 @@
   }
   void on(const OrdersCame& x) {
     ProxySeen& p = proxies_[x.proxy];
-    for (const channel::Update& order : x.message.updates) apply(p, order);
+    for (const native_protocol::Update& order : x.message.updates) apply(p, order);
     note_lacks(x.proxy, p);
     p.last_decided = std::max(p.last_decided, x.message.decided_at_ms);
     if (!p.instance) return;
@@ -150,23 +150,23 @@
     if (p.messages.size() > static_cast<std::size_t>(limits_.messages_allowed))
       broken(Rule::queue, fmt::format("proxy {}", x.proxy), text());
   }
-  void apply(ProxySeen& p, const channel::Update& order) {
+  void apply(ProxySeen& p, const native_protocol::Update& order) {
     auto table = [&](std::uint32_t number) -> Lines& {
       Lines& t = p.tables[number];
       if (!t) t = std::make_shared<std::map<std::uint32_t, double>>();
       return t;
     };
-    if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
+    if (auto* line = std::get_if<native_protocol::WeightUpdate>(&order)) {
       if (line->weight > 0) (*table(line->table))[line->endpoint] = line->weight;
       else table(line->table)->erase(line->endpoint);
-    } else if (auto* reset = std::get_if<channel::ClearTableUpdate>(&order)) {
+    } else if (auto* reset = std::get_if<native_protocol::ClearTableUpdate>(&order)) {
       table(reset->table)->clear();
-    } else if (auto* bind = std::get_if<channel::AssignTableUpdate>(&order)) {
+    } else if (auto* bind = std::get_if<native_protocol::AssignTableUpdate>(&order)) {
       if (!std::exchange(p.bound, true)) p.withdrawn.clear();
       table(bind->table)->clear();
       for (std::size_t c = 0; c < p.by_class.size(); ++c)
         if (bind->classes >> c & 1) p.by_class[c] = table(bind->table);
-    } else if (auto* w = std::get_if<channel::ExcludeEndpointUpdate>(&order)) {
+    } else if (auto* w = std::get_if<native_protocol::ExcludeEndpointUpdate>(&order)) {
       if (w->excluded) p.withdrawn.insert(w->endpoint);
       else p.withdrawn.erase(w->endpoint);
     }
--- a/src/audit/sabotage.cpp
+++ b/src/audit/sabotage.cpp
@@ -9,22 +9,22 @@
 
 using assigner::EndpointCatalog;
 using base::Ms;
-using Updates = std::vector<channel::Update>;
+using Updates = std::vector<native_protocol::Update>;
 
 constexpr Ms kEmptyAfter = 3000;      // since the first message: let the day begin
 constexpr double kColdWeight = 1000;  // times what was ordered
 constexpr double kQueueOver = 1.5;    // of the queue's limit, in each message
 
 void no_drains(Ms, std::uint32_t, Updates& orders, const EndpointCatalog&) {
-  std::erase_if(orders, [](const channel::Update& order) {
-    auto* line = std::get_if<channel::WeightUpdate>(&order);
-    return (line && line->weight <= 0) || std::get_if<channel::ExcludeEndpointUpdate>(&order);
+  std::erase_if(orders, [](const native_protocol::Update& order) {
+    auto* line = std::get_if<native_protocol::WeightUpdate>(&order);
+    return (line && line->weight <= 0) || std::get_if<native_protocol::ExcludeEndpointUpdate>(&order);
   });
 }
 
 void always_again(Ms, std::uint32_t, Updates& orders, const EndpointCatalog&) {
-  for (channel::Update& order : orders)
-    if (auto* admit = std::get_if<channel::AdmissionLimitUpdate>(&order)) admit->retry_mode = 3;
+  for (native_protocol::Update& order : orders)
+    if (auto* admit = std::get_if<native_protocol::AdmissionLimitUpdate>(&order)) admit->retry_mode = 3;
 }
 
 }  // namespace
@@ -35,8 +35,8 @@
   if (name == "cold") {
     return [warm_up = site.policy.warm_up_time.count()](Ms now, std::uint32_t, Updates& orders,
                                                         const EndpointCatalog& book) {
-      for (channel::Update& order : orders)
-        if (auto* line = std::get_if<channel::WeightUpdate>(&order))
+      for (native_protocol::Update& order : orders)
+        if (auto* line = std::get_if<native_protocol::WeightUpdate>(&order))
           if (auto start = book.start_time(line->endpoint); start && now - *start < warm_up)
             line->weight *= kColdWeight;
     };
@@ -58,12 +58,12 @@
                                            const EndpointCatalog&) {
       if (s->first < 0) s->first = now;
       auto& given = s->given[proxy];
-      for (const channel::Update& order : orders)
-        if (auto* line = std::get_if<channel::WeightUpdate>(&order))
+      for (const native_protocol::Update& order : orders)
+        if (auto* line = std::get_if<native_protocol::WeightUpdate>(&order))
           given.insert({line->table, line->endpoint});
       if (now - s->first < kEmptyAfter) return;
       for (auto& [table, endpoint] : given)
-        orders.emplace_back(channel::WeightUpdate{.table = table, .endpoint = endpoint});
+        orders.emplace_back(native_protocol::WeightUpdate{.table = table, .endpoint = endpoint});
     };
   }
   throw std::invalid_argument("sabotage is drain, twice, cold, queue or empty, not '" + std::string(name) +
--- a/src/config_stream/client.cpp
+++ b/src/config_stream/client.cpp
@@ -7,7 +7,7 @@
 namespace beamshunt::config_stream {
 namespace {
 
-using channel::RefuseCode;
+using native_protocol::RefuseCode;
 
 Reason make_reason(const char* rule, std::string path, std::string reason, std::string would_do = {}) {
   return {rule, std::move(path), std::move(reason), std::move(would_do)};
@@ -72,7 +72,7 @@
       handle(*frame, now);
       if (state_ != State::streaming) return;
     }
-  } catch (const channel::ProtocolError& error) {
+  } catch (const native_protocol::ProtocolError& error) {
     end_stream(error.code, fmt::format("at byte {}: {}", error.offset, error.what()), now);
   }
 }
@@ -311,7 +311,7 @@
   }
   if (state_ != State::streaming) return;
   // A service whose machine is gone closes nothing: only its silence shows it.
-  if (now >= last_received_ + channel::kHeartbeatsUntilDead * options_.heartbeat_interval)
+  if (now >= last_received_ + native_protocol::kHeartbeatsUntilDead * options_.heartbeat_interval)
     return end_stream(RefuseCode::silent, fmt::format("no byte for {:.0f} ms", now - last_received_), now);
   // A delivery that never ends would keep every later version out, while its heartbeats go on.
   std::optional<DeliveryAssembler::Progress> delivery = assembler_.progress();
@@ -328,7 +328,7 @@
 Ms Client::next_deadline() const {
   if (state_ == State::connecting) return base::kNever;  // on_connected() or on_disconnected() comes
   if (state_ == State::backing_off) return schedule_.attempt_at();
-  Ms silent_at = last_received_ + channel::kHeartbeatsUntilDead * options_.heartbeat_interval;
+  Ms silent_at = last_received_ + native_protocol::kHeartbeatsUntilDead * options_.heartbeat_interval;
   Ms deadline = std::min(silent_at, last_sent_ + options_.heartbeat_interval);
   if (schedule_.service() != 0) deadline = std::min(deadline, connected_at_ + options_.failback_after);
   std::optional<DeliveryAssembler::Progress> delivery = assembler_.progress();
--- a/src/config_stream/wire.cpp
+++ b/src/config_stream/wire.cpp
@@ -31,7 +31,7 @@
   return x.part < x.parts ? nullptr : "a part beyond the last";
 }
 const char* fault(const Answer& x) { return x.verdict > Verdict::reverted ? "an unknown verdict" : nullptr; }
-using channel::fault;
+using native_protocol::fault;
 template <typename T>
 const char* fault(const T&) {
   return nullptr;
@@ -53,7 +53,7 @@
 std::string encode(const Frame& frame) {
   base::Encoder payload;
   std::visit([&](const auto& f) { payload(f); }, frame);
-  return channel::framed(frame.index() + 1, payload.bytes());
+  return native_protocol::framed(frame.index() + 1, payload.bytes());
 }
 
 std::optional<Frame> FrameParser::next() {
@@ -61,12 +61,13 @@
   if (!piece) return std::nullopt;
   base::Decoder payload(piece->payload);
   try {
-    auto frame = channel::decode_kind<Frame>(piece->kind, payload);
+    auto frame = native_protocol::decode_kind<Frame>(piece->kind, payload);
     if (const char* reason = std::visit([](const auto& f) { return fault(f); }, frame)) payload.fail(reason);
     framing_.take(*piece);
     return frame;
   } catch (const base::DecodeError& error) {
-    throw channel::ProtocolError(channel::RefuseCode::bad_frame, piece->offset + error.offset, error.what());
+    throw native_protocol::ProtocolError(native_protocol::RefuseCode::bad_frame, piece->offset + error.offset,
+                                         error.what());
   }
 }
 
--- a/src/config_stream/wire.h
+++ b/src/config_stream/wire.h
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 namespace beamshunt::config_stream {
 
@@ -102,9 +102,9 @@
   std::vector<Reason> reasons;
   bool operator==(const Answer&) const = default;
 };
-using channel::Ping;
-using channel::Pong;
-using channel::Refuse;
+using native_protocol::Ping;
+using native_protocol::Pong;
+using native_protocol::Refuse;
 // The kind byte of a frame is its position here, from 1.
 using Frame = std::variant<Subscribe, Delivery, Answer, Ping, Pong, Refuse>;
 
@@ -116,12 +116,12 @@
   // `max_bytes`: of one frame; a longer one is refused before its payload is there.
   explicit FrameParser(std::size_t max_bytes) : framing_(max_bytes, std::variant_size_v<Frame>) {}
   void push(std::string_view bytes) { framing_.push(bytes); }
-  // The next whole frame, if there is one. Throws channel::ProtocolError, with the code for the peer and the
+  // The next whole frame, if there is one. Throws native_protocol::ProtocolError, with the code for the peer and the
   // offset in the stream; the stream is then at its end.
   std::optional<Frame> next();
 
  private:
-  channel::Framing framing_;
+  native_protocol::Framing framing_;
 };
 
 template <class A>
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -125,7 +125,7 @@
     std::uint32_t attempt = 0, failures = 0;
     std::uint64_t epoch = 0, applied = 0;
     Ms heartbeat = 500, period = 500, heard = 0, sent = 0, deliver_after = 0;
-    channel::FrameParser parser;
+    native_protocol::FrameParser parser;
     std::deque<std::string> held_up, held_down;  // in a cut way: to the assigner, from it
     net::Address front{};
     double rate = 0;  // requests a second that usually come to it
@@ -550,7 +550,7 @@
       });
       return;
     }
-    p.parser = channel::FrameParser();
+    p.parser = native_protocol::FrameParser();
     p.held_up.clear(), p.held_down.clear();
     p.joined = false;
     p.heard = p.sent = p.deliver_after = engine_.now();
@@ -565,14 +565,14 @@
       a.host->stream_opened(stream, x.front, engine_.now());
       soon(a);
       x.model->stream_begins();
-      send(k, channel::Hello{.proxy = x.number,
-                             .incarnation = x.incarnation,
-                             .attempt = x.attempt,
-                             .locality = x.model->spec().locality_name,
-                             .expected_rate = x.rate,
-                             .only_static_tables = x.model->only_standing(),
-                             .held_epoch = x.epoch,
-                             .held_sequence = x.applied});
+      send(k, native_protocol::Hello{.proxy = x.number,
+                                     .incarnation = x.incarnation,
+                                     .attempt = x.attempt,
+                                     .locality = x.model->spec().locality_name,
+                                     .expected_rate = x.rate,
+                                     .only_static_tables = x.model->only_standing(),
+                                     .held_epoch = x.epoch,
+                                     .held_sequence = x.applied});
     });
   }
   // The proxy's side of a stream ends; the assigner's hears of it, if anything passes.
@@ -604,11 +604,11 @@
     ProxyRun& p = proxies_[k];
     if (p.model && p.open && p.stream == stream) redial(k);
   }
-  void send(std::size_t k, const channel::Frame& frame) {
+  void send(std::size_t k, const native_protocol::Frame& frame) {
     ProxyRun& p = proxies_[k];
     p.sent = engine_.now();
     if (!p.open) return;
-    std::string bytes = channel::encode(frame);
+    std::string bytes = native_protocol::encode(frame);
     if (way(k).cut) return p.held_up.push_back(std::move(bytes));
     to_assigner(k, std::move(bytes));
   }
@@ -645,24 +645,24 @@
   void came(std::size_t k, const std::string& bytes) {
     ProxyRun& p = proxies_[k];
     p.heard = engine_.now();
-    std::vector<channel::Frame> frames;
+    std::vector<native_protocol::Frame> frames;
     p.parser.feed(bytes, frames);
-    for (const channel::Frame& f : frames) {
-      if (auto* welcome = std::get_if<channel::Welcome>(&f)) {
+    for (const native_protocol::Frame& f : frames) {
+      if (auto* welcome = std::get_if<native_protocol::Welcome>(&f)) {
         p.heartbeat = welcome->heartbeat_ms, p.period = welcome->report_period_ms;
         if (p.joined) continue;
         p.epoch = welcome->epoch, p.applied = 0, p.joined = true;
         note(StreamUp{p.number, chosen(p).instance});
-      } else if (auto* orders = std::get_if<channel::UpdateMessage>(&f)) {
+      } else if (auto* orders = std::get_if<native_protocol::UpdateMessage>(&f)) {
         p.model->apply(*orders);
         p.applied = orders->sequence;
         note(OrdersCame{p.number, *orders});
         p.model->take_left();
-        send(k, channel::Acknowledgement{orders->sequence});
-      } else if (auto* ping = std::get_if<channel::Ping>(&f)) {
-        send(k, channel::Pong{ping->token});
-      } else if (auto* refuse = std::get_if<channel::Refuse>(&f)) {
-        using Code = channel::RefuseCode;
+        send(k, native_protocol::Acknowledgement{orders->sequence});
+      } else if (auto* ping = std::get_if<native_protocol::Ping>(&f)) {
+        send(k, native_protocol::Pong{ping->token});
+      } else if (auto* refuse = std::get_if<native_protocol::Refuse>(&f)) {
+        using Code = native_protocol::RefuseCode;
         if (refuse->code == Code::bad_frame || refuse->code == Code::bad_version ||
             refuse->code == Code::unexpected)
           note(Refused{p.number, refuse->reason});
@@ -674,15 +674,15 @@
     ProxyRun& p = proxies_[k];
     if (p.life != life) return;
     Ms now = engine_.now();
-    if (p.open && now - p.heard > channel::kHeartbeatsUntilDead * p.heartbeat) redial(k);
-    else if (p.joined && now - p.sent >= p.heartbeat) send(k, channel::Ping{p.applied});
+    if (p.open && now - p.heard > native_protocol::kHeartbeatsUntilDead * p.heartbeat) redial(k);
+    else if (p.joined && now - p.sent >= p.heartbeat) send(k, native_protocol::Ping{p.applied});
     engine_.after(p.heartbeat / 2, [this, k, life] { beat(k, life); });
   }
   void report(std::size_t k, std::uint64_t life) {
     ProxyRun& p = proxies_[k];
     if (p.life != life) return;
     if (p.joined) {
-      channel::LoadReportMessage due = p.model->report(engine_.now());
+      native_protocol::LoadReportMessage due = p.model->report(engine_.now());
       if (reporting_.late > 0)
         engine_.after(reporting_.late, [this, k, life, number = p.stream_number, due] {
           const ProxyRun& x = proxies_[k];
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -67,11 +67,13 @@
   void stream_bytes(StreamId s, std::string_view bytes, Ms now) override {
     auto found = streams_.find(s);
     if (found == streams_.end()) return;
-    std::vector<channel::Frame> frames;
+    std::vector<native_protocol::Frame> frames;
     found->second.parser.feed(bytes, frames);
-    for (const channel::Frame& f : frames) {
-      if (auto* hello = std::get_if<channel::Hello>(&f)) welcome(found->first, found->second, *hello, now);
-      else if (auto* ping = std::get_if<channel::Ping>(&f)) send(s, channel::Pong{ping->token});
+    for (const native_protocol::Frame& f : frames) {
+      if (auto* hello = std::get_if<native_protocol::Hello>(&f))
+        welcome(found->first, found->second, *hello, now);
+      else if (auto* ping = std::get_if<native_protocol::Ping>(&f))
+        send(s, native_protocol::Pong{ping->token});
     }
   }
   void stream_closed(StreamId s, const std::string&, Ms) override { streams_.erase(s); }
@@ -99,30 +101,31 @@
   static constexpr Ms kAskAgain = 1000;
   using Lines = std::map<std::uint32_t, double>;
   struct Stream {
-    channel::FrameParser parser;
+    native_protocol::FrameParser parser;
     std::uint32_t locality = 0;
     bool joined = false;
     std::uint64_t sequence = 0;
     std::array<Lines, 2> sent;  // of the classes that may leave the locality, of those that may not
   };
 
-  void send(StreamId s, const channel::Frame& frame) {
+  void send(StreamId s, const native_protocol::Frame& frame) {
     effects_.emplace_back(
-        assigner::SendBytes{s, std::make_shared<const std::string>(channel::encode(frame))});
+        assigner::SendBytes{s, std::make_shared<const std::string>(native_protocol::encode(frame))});
   }
-  void welcome(StreamId id, Stream& s, const channel::Hello& hello, Ms now) {
+  void welcome(StreamId id, Stream& s, const native_protocol::Hello& hello, Ms now) {
     auto& names = site_.policy.localities;
     auto found = std::find(names.begin(), names.end(), hello.locality);
     if (found == names.end())
-      return send(id, channel::Refuse{channel::RefuseCode::bad_locality, 0, "no such locality"});
+      return send(id,
+                  native_protocol::Refuse{native_protocol::RefuseCode::bad_locality, 0, "no such locality"});
     s.locality = static_cast<std::uint32_t>(found - names.begin());
     s.joined = true;
-    send(id, channel::Welcome{.epoch = epoch_,
-                              .heartbeat_ms = site_.heartbeat,
-                              .report_period_ms = site_.policy.report_period.count()});
-    std::vector<channel::Update> orders;
+    send(id, native_protocol::Welcome{.epoch = epoch_,
+                                      .heartbeat_ms = site_.heartbeat,
+                                      .report_period_ms = site_.policy.report_period.count()});
+    std::vector<native_protocol::Update> orders;
     for (std::uint32_t t : {0u, 1u})
-      if (classes_[t] != 0) orders.emplace_back(channel::AssignTableUpdate{classes_[t], t});
+      if (classes_[t] != 0) orders.emplace_back(native_protocol::AssignTableUpdate{classes_[t], t});
     tell(id, s, now, std::move(orders));
   }
   Lines wanted(std::uint32_t locality, bool home) const {
@@ -135,24 +138,25 @@
     }
     return home || !here.empty() ? here : all;
   }
-  void tell(StreamId id, Stream& s, Ms now, std::vector<channel::Update> orders) {
+  void tell(StreamId id, Stream& s, Ms now, std::vector<native_protocol::Update> orders) {
     for (std::uint32_t t : {0u, 1u}) {
       if (classes_[t] == 0) continue;
       Lines want = wanted(s.locality, t == 1);
       for (auto& [endpoint, weight] : s.sent[t])
-        if (!want.contains(endpoint)) orders.emplace_back(channel::WeightUpdate{t, endpoint, 0});
+        if (!want.contains(endpoint)) orders.emplace_back(native_protocol::WeightUpdate{t, endpoint, 0});
       for (auto& [endpoint, weight] : want) {
         auto had = s.sent[t].find(endpoint);
         if (had != s.sent[t].end() && had->second == weight) continue;
         const assigner::EndpointListEntry& e = *book_.find(endpoint);
-        orders.emplace_back(channel::WeightUpdate{t, endpoint, weight, static_cast<std::uint16_t>(e.locality),
-                                                  e.cell, e.address.ip, e.address.port});
+        orders.emplace_back(native_protocol::WeightUpdate{t, endpoint, weight,
+                                                          static_cast<std::uint16_t>(e.locality), e.cell,
+                                                          e.address.ip, e.address.port});
       }
       s.sent[t] = std::move(want);
     }
     if (orders.empty()) return;
     auto lines = static_cast<double>(orders.size());
-    send(id, channel::UpdateMessage{++s.sequence, now, lines, std::move(orders)});
+    send(id, native_protocol::UpdateMessage{++s.sequence, now, lines, std::move(orders)});
   }
 
   const assigner::AssignerSettings& site_;
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "base/file.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 #include "process/child.h"
 #include "standin/control.h"
 #include "standin/list.h"
@@ -96,7 +96,7 @@
   struct Stream {
     std::uint32_t id = 0;
     std::shared_ptr<net::Connection> connection;
-    channel::FrameParser parser;
+    native_protocol::FrameParser parser;
     std::uint64_t report = 0;
   };
 
@@ -119,38 +119,38 @@
     // A source address carries some 28,000 ports: four of them are enough for any count measured here.
     net::Address from{kLoopback | 16 | s.id % 4, 0};
     s.connection = net::Connection::dial(reactor_, echoing_ ? kEcho : kChannel, from);
-    s.connection->start({[this, &s] {
-                           if (echoing_) ++ready;
-                           else
-                             s.connection->send(channel::encode(channel::Hello{.proxy = s.id,
+    s.connection->start(
+        {[this, &s] {
+           if (echoing_) ++ready;
+           else
+             s.connection->send(native_protocol::encode(native_protocol::Hello{.proxy = s.id,
                                                                                .incarnation = 1,
                                                                                .attempt = 1,
                                                                                .locality = "here",
                                                                                .expected_rate = 10,
                                                                                .only_static_tables = true}));
-                         },
-                         [this, &s](std::string_view bytes) { came(s, bytes); },
-                         {},
-                         [](net::CloseReason reason) {
-                           throw std::runtime_error(std::string("a stream broke: ") +
-                                                    net::reason_name(reason));
-                         }});
+         },
+         [this, &s](std::string_view bytes) { came(s, bytes); },
+         {},
+         [](net::CloseReason reason) {
+           throw std::runtime_error(std::string("a stream broke: ") + net::reason_name(reason));
+         }});
   }
   void came(Stream& s, std::string_view bytes) {
-    std::vector<channel::Frame> frames;
+    std::vector<native_protocol::Frame> frames;
     s.parser.feed(bytes, frames);
-    for (const channel::Frame& f : frames) {
-      if (std::get_if<channel::Welcome>(&f)) ++ready;
-      if (std::get_if<channel::LoadReportMessage>(&f)) ++back, push(s);
-      if (std::get_if<channel::Pong>(&f)) ++back, push(s);
-      if (auto* ping = std::get_if<channel::Ping>(&f))
-        s.connection->send(channel::encode(channel::Pong{ping->token}));
-      if (auto* refuse = std::get_if<channel::Refuse>(&f))
+    for (const native_protocol::Frame& f : frames) {
+      if (std::get_if<native_protocol::Welcome>(&f)) ++ready;
+      if (std::get_if<native_protocol::LoadReportMessage>(&f)) ++back, push(s);
+      if (std::get_if<native_protocol::Pong>(&f)) ++back, push(s);
+      if (auto* ping = std::get_if<native_protocol::Ping>(&f))
+        s.connection->send(native_protocol::encode(native_protocol::Pong{ping->token}));
+      if (auto* refuse = std::get_if<native_protocol::Refuse>(&f))
         throw std::runtime_error("refused: " + refuse->reason);
-      if (auto* o = std::get_if<channel::UpdateMessage>(&f)) {
+      if (auto* o = std::get_if<native_protocol::UpdateMessage>(&f)) {
         ++orders, lines += o->updates.size();
         latency(std::max(0.001, base::monotonic_ms() - o->decided_at_ms));
-        s.connection->send(channel::encode(channel::Acknowledgement{o->sequence}));
+        s.connection->send(native_protocol::encode(native_protocol::Acknowledgement{o->sequence}));
       }
     }
   }
@@ -158,15 +158,15 @@
     if (!flooding_) return;
     send_report(s, 250);
     // An assigner does not answer reports: a ping behind each tells when it has been read.
-    if (!echoing_) s.connection->send(channel::encode(channel::Ping{++s.report}));
+    if (!echoing_) s.connection->send(native_protocol::encode(native_protocol::Ping{++s.report}));
   }
   void send_report(Stream& s, Ms span) const {
-    channel::LoadReportMessage report{.sequence = ++s.report, .interval_ms = span};
+    native_protocol::LoadReportMessage report{.sequence = ++s.report, .interval_ms = span};
     for (std::uint32_t e = 0; e < 10; ++e)  // ten endpoints and three classes: as a proxy of a day reports
       report.endpoints.push_back(
           {(s.id + e) % static_cast<std::uint32_t>(servers) + 1, 10, 0, 20, {{"utilization", 0.4}}});
     for (std::uint16_t c = 0; c < 3; ++c) report.demand.push_back({c, 30, 0});
-    s.connection->send(channel::encode(report));
+    s.connection->send(native_protocol::encode(report));
   }
 
   net::Reactor& reactor_;
@@ -447,7 +447,7 @@
   reactor.on_signal(SIGTERM, [&] { reactor.stop(); });
   struct Stream {
     std::shared_ptr<net::Connection> connection;
-    channel::FrameParser parser;
+    native_protocol::FrameParser parser;
   };
   std::set<std::shared_ptr<Stream>> streams;
   net::Listener listener(reactor, *at, [&](std::shared_ptr<net::Connection> c) {
@@ -456,9 +456,10 @@
     streams.insert(s);
     c->start({{},
               [s = s.get()](std::string_view bytes) {
-                std::vector<channel::Frame> frames;
+                std::vector<native_protocol::Frame> frames;
                 s->parser.feed(bytes, frames);
-                for (const channel::Frame& f : frames) s->connection->send(channel::encode(f));
+                for (const native_protocol::Frame& f : frames)
+                  s->connection->send(native_protocol::encode(f));
               },
               {},
               [&streams, weak = std::weak_ptr(s)](net::CloseReason) { streams.erase(weak.lock()); }});
--- a/src/channel/frames.cpp
+++ b/src/native_protocol/frames.cpp
@@ -1,10 +1,10 @@
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 #include <cmath>
 
 #include "base/archive.h"
 
-namespace beamshunt::channel {
+namespace beamshunt::native_protocol {
 // Found by argument-dependent lookup, hence not in the unnamed namespace.
 template <class A>
 void fields(A& a, Hello& x) {
@@ -201,4 +201,4 @@
   while (std::optional<Frame> frame = next()) out.push_back(std::move(*frame));
 }
 
-}  // namespace beamshunt::channel
+}  // namespace beamshunt::native_protocol
--- a/src/channel/frames.h
+++ b/src/native_protocol/frames.h
@@ -16,7 +16,7 @@
 
 #include "base/archive.h"
 
-namespace beamshunt::channel {
+namespace beamshunt::native_protocol {
 
 constexpr std::uint32_t kMagic = 0x42534854;  // "BSHT"
 constexpr std::uint16_t kVersion = 1;
@@ -260,4 +260,4 @@
   Framing framing_;
 };
 
-}  // namespace beamshunt::channel
+}  // namespace beamshunt::native_protocol
--- a/src/standin/control.cpp
+++ b/src/standin/control.cpp
@@ -96,7 +96,7 @@
         return;
       }
     }
-  } catch (const channel::ProtocolError&) {
+  } catch (const native_protocol::ProtocolError&) {
     peer.connection->close();
     peers_.erase(id);
   }
--- a/src/standin/proxy.cpp
+++ b/src/standin/proxy.cpp
@@ -130,7 +130,7 @@
     });
     return;
   }
-  parser_ = std::make_unique<channel::FrameParser>();
+  parser_ = std::make_unique<native_protocol::FrameParser>();
   held_.clear();
   joined_ = false;
   heard_ = sent_ = deliver_after_ = world_.now();
@@ -139,14 +139,14 @@
   stream_->start({[this, current] {
                     if (!current()) return;
                     model_.stream_begins();
-                    send(channel::Hello{.proxy = model_.spec().id,
-                                        .incarnation = incarnation_,
-                                        .attempt = attempt_,
-                                        .locality = model_.spec().locality_name,
-                                        .expected_rate = options_.usual_rate,
-                                        .only_static_tables = model_.only_standing(),
-                                        .held_epoch = epoch_,
-                                        .held_sequence = applied_});
+                    send(native_protocol::Hello{.proxy = model_.spec().id,
+                                                .incarnation = incarnation_,
+                                                .attempt = attempt_,
+                                                .locality = model_.spec().locality_name,
+                                                .expected_rate = options_.usual_rate,
+                                                .only_static_tables = model_.only_standing(),
+                                                .held_epoch = epoch_,
+                                                .held_sequence = applied_});
                   },
                   [this, current](std::string_view bytes) {
                     if (!current()) return;
@@ -183,11 +183,11 @@
   });
 }
 
-void Proxy::send(const channel::Frame& f) {
+void Proxy::send(const native_protocol::Frame& f) {
   sent_ = world_.now();
   if (!stream_) return;
-  if (way().cut) held_.push_back(channel::encode(f));
-  else stream_->send(channel::encode(f));
+  if (way().cut) held_.push_back(native_protocol::encode(f));
+  else stream_->send(native_protocol::encode(f));
 }
 
 void Proxy::links_changed() {
@@ -200,34 +200,34 @@
 
 void Proxy::came(std::string_view bytes) {
   heard_ = world_.now();
-  std::vector<channel::Frame> frames;
+  std::vector<native_protocol::Frame> frames;
   std::uint64_t number = stream_number_;
   try {
     parser_->feed(bytes, frames);
-  } catch (const channel::ProtocolError&) {
+  } catch (const native_protocol::ProtocolError&) {
     return redial();
   }
-  for (const channel::Frame& f : frames)
+  for (const native_protocol::Frame& f : frames)
     if (number == stream_number_) frame(f);
 }
 
-void Proxy::frame(const channel::Frame& f) {
-  if (auto* welcome = std::get_if<channel::Welcome>(&f)) {
+void Proxy::frame(const native_protocol::Frame& f) {
+  if (auto* welcome = std::get_if<native_protocol::Welcome>(&f)) {
     heartbeat_ = welcome->heartbeat_ms, period_ = welcome->report_period_ms;
     if (joined_) return;  // other settings, the same stream
     epoch_ = welcome->epoch, applied_ = 0;
     joined_ = true;
     world_.note(StreamUp{model_.spec().id, options_.assigners[choice_].instance});
-  } else if (auto* orders = std::get_if<channel::UpdateMessage>(&f)) {
+  } else if (auto* orders = std::get_if<native_protocol::UpdateMessage>(&f)) {
     model_.apply(*orders);
     applied_ = orders->sequence;
     world_.note(OrdersCame{model_.spec().id, *orders});
     for (const Place& p : model_.take_left()) upstream_.drop_idle(p.address);
-    send(channel::Acknowledgement{orders->sequence});
-  } else if (auto* ping = std::get_if<channel::Ping>(&f)) {
-    send(channel::Pong{ping->token});
-  } else if (auto* refuse = std::get_if<channel::Refuse>(&f)) {
-    using Code = channel::RefuseCode;
+    send(native_protocol::Acknowledgement{orders->sequence});
+  } else if (auto* ping = std::get_if<native_protocol::Ping>(&f)) {
+    send(native_protocol::Pong{ping->token});
+  } else if (auto* refuse = std::get_if<native_protocol::Refuse>(&f)) {
+    using Code = native_protocol::RefuseCode;
     if (refuse->code == Code::bad_frame || refuse->code == Code::bad_version ||
         refuse->code == Code::unexpected)
       world_.note(Refused{model_.spec().id, refuse->reason});
@@ -237,8 +237,8 @@
 
 void Proxy::beat() {
   Ms now = world_.now();
-  if (stream_ && now - heard_ > channel::kHeartbeatsUntilDead * heartbeat_) redial();
-  else if (joined_ && now - sent_ >= heartbeat_) send(channel::Ping{applied_});
+  if (stream_ && now - heard_ > native_protocol::kHeartbeatsUntilDead * heartbeat_) redial();
+  else if (joined_ && now - sent_ >= heartbeat_) send(native_protocol::Ping{applied_});
   world_.reactor.at(now + heartbeat_ / 2, [this, alive = alive_] {
     if (*alive) beat();
   });
@@ -246,7 +246,7 @@
 
 void Proxy::report() {
   if (joined_) {
-    channel::LoadReportMessage due = model_.report(world_.now());
+    native_protocol::LoadReportMessage due = model_.report(world_.now());
     const Reporting& way = world_.reporting;
     if (way.late > 0)
       world_.reactor.at(world_.now() + way.late, [this, alive = alive_, number = stream_number_, due] {
--- a/src/standin/proxy.h
+++ b/src/standin/proxy.h
@@ -45,8 +45,8 @@
   void dial();
   void redial();
   void came(std::string_view bytes);
-  void frame(const channel::Frame& frame);
-  void send(const channel::Frame& frame);
+  void frame(const native_protocol::Frame& frame);
+  void send(const native_protocol::Frame& frame);
   void drop_stream();
   void beat();
   void report();
@@ -60,7 +60,7 @@
   std::unique_ptr<http::Server> http_;
 
   std::shared_ptr<net::Connection> stream_;
-  std::unique_ptr<channel::FrameParser> parser_;
+  std::unique_ptr<native_protocol::FrameParser> parser_;
   std::vector<std::string> held_;  // frames that wait for a cut way to heal
   std::size_t choice_ = 0;         // of the assigners
   std::uint32_t attempt_ = 0, failures_ = 0;
--- a/src/standin/proxy_model.cpp
+++ b/src/standin/proxy_model.cpp
@@ -31,40 +31,41 @@
   return *t;
 }
 
-void ProxyModel::set_level(Level& level, const channel::AdmissionLimitUpdate& order) {
+void ProxyModel::set_level(Level& level, const native_protocol::AdmissionLimitUpdate& order) {
   level.level = order.limit;
   level.retry = order.retry_mode, level.retry_set = true;
 }
 
-void ProxyModel::apply(const channel::UpdateMessage& message) {
+void ProxyModel::apply(const native_protocol::UpdateMessage& message) {
   struct Doing {
     ProxyModel& p;
-    void operator()(const channel::WeightUpdate& x) {
+    void operator()(const native_protocol::WeightUpdate& x) {
       if (x.weight > 0)
         p.table(x.table).lines[x.endpoint] = {x.weight, {x.endpoint, x.locality, x.cell, {x.ip, x.port}}};
       else p.table(x.table).lines.erase(x.endpoint);
     }
-    void operator()(const channel::ClearTableUpdate& x) { p.table(x.table) = {}; }
-    void operator()(const channel::AssignTableUpdate& x) {
+    void operator()(const native_protocol::ClearTableUpdate& x) { p.table(x.table) = {}; }
+    void operator()(const native_protocol::AssignTableUpdate& x) {
       if (!std::exchange(p.bound_, true)) p.withdrawn_.clear(), p.every_table_.clear();  // of earlier streams
       p.only_standing_ = false;
       p.table(x.table) = {};
       for (std::size_t c = 0; c < p.by_class_.size(); ++c)
         if (x.classes >> c & 1) p.by_class_[c] = p.of_stream_[x.table];
     }
-    void operator()(const channel::ExcludeEndpointUpdate& x) {
+    void operator()(const native_protocol::ExcludeEndpointUpdate& x) {
       if (x.excluded) p.withdrawn_.insert(x.endpoint);
       else p.withdrawn_.erase(x.endpoint);
     }
-    void operator()(const channel::AdmissionLimitUpdate& x) {
+    void operator()(const native_protocol::AdmissionLimitUpdate& x) {
       for (std::size_t c = 0; c < p.by_class_.size(); ++c) {
         if (!(x.classes >> c & 1)) continue;
-        p.set_level(x.table == channel::kAllTables ? p.every_table_[c] : p.table(x.table).levels[c], x);
+        p.set_level(x.table == native_protocol::kAllTables ? p.every_table_[c] : p.table(x.table).levels[c],
+                    x);
       }
     }
-    void operator()(const channel::AckRequestUpdate&) {}
+    void operator()(const native_protocol::AckRequestUpdate&) {}
   };
-  for (const channel::Update& order : message.updates) std::visit(Doing{*this}, order);
+  for (const native_protocol::Update& order : message.updates) std::visit(Doing{*this}, order);
 
   std::map<std::uint32_t, Place> now;
   for (const TablePtr& t : by_class_)
@@ -171,18 +172,18 @@
   }
 }
 
-channel::LoadReportMessage ProxyModel::report(Ms now) {
-  channel::LoadReportMessage out{.sequence = ++report_sequence_,
-                                 .interval_ms = std::max(0.0, now - reported_at_)};
+native_protocol::LoadReportMessage ProxyModel::report(Ms now) {
+  native_protocol::LoadReportMessage out{.sequence = ++report_sequence_,
+                                         .interval_ms = std::max(0.0, now - reported_at_)};
   reported_at_ = now;
   for (auto& [endpoint, t] : heard_) {
-    channel::EndpointReportEntry h{.endpoint = endpoint, .attempts = t.tries, .failed = t.failed};
+    native_protocol::EndpointReportEntry h{.endpoint = endpoint, .attempts = t.tries, .failed = t.failed};
     if (t.tries > t.failed) h.mean_latency_ms = t.latency_sum / (t.tries - t.failed);
     h.load.assign(t.load.begin(), t.load.end());
     out.endpoints.push_back(std::move(h));
   }
   heard_.clear();
-  for (channel::DemandReportEntry& u : usage_) {
+  for (native_protocol::DemandReportEntry& u : usage_) {
     out.demand.push_back(u);
     u.arrivals = u.failed = u.within_objective = 0;
   }
--- a/src/standin/proxy_model.h
+++ b/src/standin/proxy_model.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 #include "net/address.h"
 
 namespace beamshunt::standin {
@@ -47,7 +47,7 @@
 
   // ---- Orders ----
   void stream_begins();  // tables of the stream to come; what is held stays in use
-  void apply(const channel::UpdateMessage& message);  // as a whole
+  void apply(const native_protocol::UpdateMessage& message);  // as a whole
   bool only_standing() const { return only_standing_; }
   // Endpoints in use before and not now: connections to them are closed.
   std::vector<Place> take_left();
@@ -65,7 +65,7 @@
   void came(std::size_t request_class) { ++usage_[request_class].arrivals; }
   void unanswered(std::size_t request_class) { ++usage_[request_class].failed; }
   void in_time(std::size_t request_class) { ++usage_[request_class].within_objective; }
-  channel::LoadReportMessage report(Ms now);
+  native_protocol::LoadReportMessage report(Ms now);
   bool loses_report(double share) {  // every so many-th, whatever chance does
     lost_ += share;
     if (lost_ < 1) return false;
@@ -100,7 +100,7 @@
   };
   using TablePtr = std::shared_ptr<Table>;
   Table& table(std::uint32_t number);
-  void set_level(Level& level, const channel::AdmissionLimitUpdate& order);
+  void set_level(Level& level, const native_protocol::AdmissionLimitUpdate& order);
   bool level_lets_in(Level& level, Ms now);
 
   ProxySpec spec_;
@@ -122,7 +122,7 @@
     std::map<std::string, double> load;
   };
   std::map<std::uint32_t, Tries> heard_;
-  std::vector<channel::DemandReportEntry> usage_;
+  std::vector<native_protocol::DemandReportEntry> usage_;
   std::uint64_t report_sequence_ = 0;
   double lost_ = 0;  // reports due to be lost
   Ms reported_at_ = 0;
--- a/src/standin/tap.h
+++ b/src/standin/tap.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 namespace beamshunt::standin {
 
@@ -40,7 +40,7 @@
 };
 struct OrdersCame {  // a proxy received and applied a message
   std::uint32_t proxy = 0;
-  channel::UpdateMessage message;
+  native_protocol::UpdateMessage message;
 };
 struct TrySent {  // a proxy wrote a request to a server's socket
   std::uint32_t proxy = 0, endpoint = 0;
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -17,17 +17,17 @@
               rig.others.size() > 1);
   rig.list(list_line("total", 1, {2, 4, 1, 3}));
   StreamId p = rig.join(0);
-  ASSERT_EQ(rig.got<channel::Welcome>(p).size(), 1u);
-  EXPECT_EQ(rig.got<channel::Welcome>(p)[0].epoch, 1u);
+  ASSERT_EQ(rig.got<native_protocol::Welcome>(p).size(), 1u);
+  EXPECT_EQ(rig.got<native_protocol::Welcome>(p)[0].epoch, 1u);
   rig.live({p}, 500);
   auto tables = rig.tables(p);
   ASSERT_EQ(tables.size(), 2u);
   for (auto& [number, lines] : tables)
     for (std::uint32_t local : {2u, 4u}) EXPECT_TRUE(lines.contains(local)) << number;
-  auto orders = rig.got<channel::UpdateMessage>(p);
+  auto orders = rig.got<native_protocol::UpdateMessage>(p);
   for (std::size_t k = 0; k < orders.size(); ++k) EXPECT_EQ(orders[k].sequence, k + 1);
   EXPECT_EQ(rig.core.unacknowledged_lines(), 0);
-  auto* line = std::get_if<channel::WeightUpdate>(&orders[0].updates[1]);
+  auto* line = std::get_if<native_protocol::WeightUpdate>(&orders[0].updates[1]);
   ASSERT_TRUE(line);
   EXPECT_EQ(line->ip >> 24, 127u);
   EXPECT_EQ(line->port, 8000);
@@ -65,13 +65,13 @@
   StreamId huge = rig.open("127.10.1.11:1");
   rig.bytes(huge, std::string("\x00\xff\xff\xff\x01", 5));
   StreamId old = rig.open("127.10.1.12:1");
-  rig.say(old, channel::Hello{.version = 9});
+  rig.say(old, native_protocol::Hello{.version = 9});
   StreamId stranger = rig.open("127.99.1.1:1");
-  rig.say(stranger, channel::Hello{.proxy = 5, .locality = "north"});
+  rig.say(stranger, native_protocol::Hello{.proxy = 5, .locality = "north"});
   StreamId liar = rig.open("127.10.1.13:1");
-  rig.say(liar, channel::Hello{.proxy = 6, .locality = "south"});
+  rig.say(liar, native_protocol::Hello{.proxy = 6, .locality = "south"});
   StreamId early = rig.open("127.10.1.14:1");
-  rig.say(early, channel::Acknowledgement{1});
+  rig.say(early, native_protocol::Acknowledgement{1});
   rig.live({good}, 1000);
   EXPECT_NE(rig.refusal(silent).find("no hello in time"), std::string::npos);
   EXPECT_NE(rig.refusal(rubbish).find("at byte 0: a frame of"), std::string::npos);
@@ -93,10 +93,10 @@
   Rig rig;
   rig.list(list_line("total", 1, {2}));
   StreamId p = rig.join(0);
-  rig.say(p, channel::Acknowledgement{99});
+  rig.say(p, native_protocol::Acknowledgement{99});
   EXPECT_TRUE(rig.is_closed(p));
   StreamId q = rig.join(1);
-  rig.say(q, channel::LoadReportMessage{1, 250, {}, {{9, 1, 0}}});
+  rig.say(q, native_protocol::LoadReportMessage{1, 250, {}, {{9, 1, 0}}});
   EXPECT_NE(rig.refusal(q).find("a report on class 9, there are 2"), std::string::npos);
 }
 
@@ -108,7 +108,7 @@
   StreamId p = rig.join(0);
   rig.pass(550);
   EXPECT_FALSE(rig.is_closed(p));
-  EXPECT_GE(rig.got<channel::Ping>(p).size(), 1u);
+  EXPECT_GE(rig.got<native_protocol::Ping>(p).size(), 1u);
   rig.pass(200);
   EXPECT_TRUE(rig.is_closed(p));
   EXPECT_EQ(rig.core.proxies(), 0u);
@@ -121,7 +121,7 @@
   rig.list(list_line("total", 1, {2}));
   StreamId deaf = rig.join(0), good = rig.join(1);
   for (int k = 0; k < 220 && !rig.is_closed(deaf); ++k) {
-    rig.say(deaf, channel::Ping{1});
+    rig.say(deaf, native_protocol::Ping{1});
     rig.live({good}, 50);
   }
   EXPECT_TRUE(rig.is_closed(deaf));
@@ -139,11 +139,11 @@
   EXPECT_NE(rig.refusal(s).find("a frame of 2048 bytes, 1024 are allowed"), std::string::npos);
   // A report may follow the hello at once, and be longer than a hello may be.
   StreamId p = rig.open("127.10.1.2:1");
-  channel::LoadReportMessage report{.sequence = 1, .interval_ms = 250};
+  native_protocol::LoadReportMessage report{.sequence = 1, .interval_ms = 250};
   for (std::uint32_t e = 0; e < 200; ++e) report.endpoints.push_back({e, 1, 0, 20, {}});
-  rig.bytes(p,
-            channel::encode(channel::Hello{.proxy = 1, .incarnation = 1, .attempt = 1, .locality = "north"}) +
-                channel::encode(report));
+  rig.bytes(p, native_protocol::encode(
+                   native_protocol::Hello{.proxy = 1, .incarnation = 1, .attempt = 1, .locality = "north"}) +
+                   native_protocol::encode(report));
   EXPECT_FALSE(rig.is_closed(p));
   EXPECT_EQ(rig.core.counters().reports, 1u);
 }
@@ -172,7 +172,7 @@
   StreamId thief = rig.join(0, 88, 1);
   EXPECT_TRUE(rig.is_closed(thief));
   EXPECT_FALSE(rig.is_closed(first));
-  EXPECT_EQ(rig.got<channel::Refuse>(thief).at(0).code, channel::RefuseCode::id_in_use);
+  EXPECT_EQ(rig.got<native_protocol::Refuse>(thief).at(0).code, native_protocol::RefuseCode::id_in_use);
   // The first falls silent, as a machine that lost power does: its successor gets in.
   rig.pass(650);
   StreamId successor = rig.join(0, 99, 1);
@@ -188,12 +188,13 @@
   for (std::uint32_t id = 2; id < 400; id += 2) many.push_back(id);
   rig.list(list_line("total", 1, many));
   StreamId a = rig.join(0);
-  EXPECT_TRUE(rig.got<channel::UpdateMessage>(a).empty());  // some hundred lines take their time at 2000/s
+  EXPECT_TRUE(
+      rig.got<native_protocol::UpdateMessage>(a).empty());  // some hundred lines take their time at 2000/s
   rig.pass(20);
-  EXPECT_TRUE(rig.got<channel::UpdateMessage>(a).empty());
+  EXPECT_TRUE(rig.got<native_protocol::UpdateMessage>(a).empty());
   rig.pass(400);
-  ASSERT_EQ(rig.got<channel::UpdateMessage>(a).size(), 1u);
-  auto m = rig.got<channel::UpdateMessage>(a)[0];
+  ASSERT_EQ(rig.got<native_protocol::UpdateMessage>(a).size(), 1u);
+  auto m = rig.got<native_protocol::UpdateMessage>(a)[0];
   EXPECT_EQ(m.lines, static_cast<double>(m.updates.size()) + 3);
   StreamId b = rig.join(1);
   rig.core.stream_closed(b, "reset", rig.now);
@@ -245,7 +246,7 @@
   again.live({p}, 500);
   ASSERT_FALSE(again.tables(p).empty());
   for (auto& [number, lines] : again.tables(p)) EXPECT_EQ(lines.size(), 2u);
-  EXPECT_EQ(again.got<channel::Welcome>(p)[0].epoch, 2u);
+  EXPECT_EQ(again.got<native_protocol::Welcome>(p)[0].epoch, 2u);
 }
 
 // Somebody who is not in the settings says that he is a peer, or a peer's instance comes from another
@@ -259,11 +260,11 @@
   EXPECT_TRUE(dialled);
   StreamId known = rig.open("127.20.0.1:1"), unknown = rig.open("127.20.0.2:1");
   StreamId elsewhere = rig.open("127.20.0.3:1");
-  rig.say(elsewhere, channel::PeerHello{.instance = 7});
+  rig.say(elsewhere, native_protocol::PeerHello{.instance = 7});
   EXPECT_TRUE(rig.is_closed(elsewhere));
-  rig.say(known, channel::PeerHello{.instance = 7});
-  rig.say(unknown, channel::PeerHello{.instance = 8});
-  rig.say(known, channel::PeerNote{"hello"});
+  rig.say(known, native_protocol::PeerHello{.instance = 7});
+  rig.say(unknown, native_protocol::PeerHello{.instance = 8});
+  rig.say(known, native_protocol::PeerNote{"hello"});
   EXPECT_FALSE(rig.is_closed(known));
   EXPECT_TRUE(rig.is_closed(unknown));
 }
@@ -286,7 +287,7 @@
   StreamId p = rig.join(0);
   rig.core.stop(rig.now);
   rig.turn();
-  EXPECT_EQ(rig.got<channel::Refuse>(p).at(0).code, channel::RefuseCode::stopping);
+  EXPECT_EQ(rig.got<native_protocol::Refuse>(p).at(0).code, native_protocol::RefuseCode::stopping);
   EXPECT_TRUE(rig.is_closed(p));
   StreamId late = rig.open("127.10.1.2:1");
   EXPECT_TRUE(rig.is_closed(late));
@@ -330,7 +331,7 @@
           break;
         case 6:
           if (!rig.is_closed(s))
-            rig.say(s, channel::LoadReportMessage{
+            rig.say(s, native_protocol::LoadReportMessage{
                            std::uint64_t(step) + 1, 250, {{2, 10, draw(10), 30, {}}}, {{0, draw(50), 0}}});
           break;
         default: {
@@ -350,7 +351,7 @@
     for (StreamId stream : all) {
       ASSERT_FALSE(rig.is_closed(stream)) << "seed " << seed;
       std::uint64_t next = 1;
-      for (auto& m : rig.got<channel::UpdateMessage>(stream))
+      for (auto& m : rig.got<native_protocol::UpdateMessage>(stream))
         ASSERT_EQ(m.sequence, next++) << "seed " << seed;
       auto tables = rig.tables(stream);
       ASSERT_EQ(tables.size(), 2u) << "seed " << seed;
--- a/tests/assigner/rig.h
+++ b/tests/assigner/rig.h
@@ -48,8 +48,8 @@
   AssignerSettings site = load_assigner_settings({{"site.cue", kSite}});
   Ms now = 1000000;
   Core core;
-  std::map<StreamId, std::vector<channel::Frame>> inbox;
-  std::map<StreamId, channel::FrameParser> parsers;
+  std::map<StreamId, std::vector<native_protocol::Frame>> inbox;
+  std::map<StreamId, native_protocol::FrameParser> parsers;
   std::vector<StreamId> closed;
   std::vector<Effect> others;
   std::vector<LogLine> lines;
@@ -83,7 +83,7 @@
     turn();
     return id;
   }
-  void say(StreamId id, const channel::Frame& frame) { bytes(id, channel::encode(frame)); }
+  void say(StreamId id, const native_protocol::Frame& frame) { bytes(id, native_protocol::encode(frame)); }
   void bytes(StreamId id, std::string_view text) {
     core.stream_bytes(id, text, now);
     turn();
@@ -91,12 +91,12 @@
   StreamId join(std::uint32_t proxy, std::uint64_t incarnation = 1, std::uint32_t attempt = 1,
                 bool south = false) {
     StreamId id = open(fmt::format("127.{}.1.{}:40000", south ? 20 : 10, proxy + 1));
-    say(id, channel::Hello{.proxy = proxy,
-                           .incarnation = incarnation,
-                           .attempt = attempt,
-                           .locality = south ? "south" : "north",
-                           .expected_rate = 10,
-                           .only_static_tables = true});
+    say(id, native_protocol::Hello{.proxy = proxy,
+                                   .incarnation = incarnation,
+                                   .attempt = attempt,
+                                   .locality = south ? "south" : "north",
+                                   .expected_rate = 10,
+                                   .only_static_tables = true});
     return id;
   }
   void list(const std::string& line) {
@@ -112,7 +112,7 @@
   }
   bool is_closed(StreamId id) const { return std::count(closed.begin(), closed.end(), id) > 0; }
   std::string refusal(StreamId id) {
-    auto all = got<channel::Refuse>(id);
+    auto all = got<native_protocol::Refuse>(id);
     return all.empty() ? "" : all.back().reason;
   }
   bool logged(const std::string& event, const std::string& part = "") const {
@@ -127,13 +127,13 @@
   // What a proxy holds by the orders that came: lines by class.
   std::map<std::uint32_t, std::map<std::uint32_t, double>> tables(StreamId id) {
     std::map<std::uint32_t, std::map<std::uint32_t, double>> out;
-    for (auto& message : got<channel::UpdateMessage>(id))
+    for (auto& message : got<native_protocol::UpdateMessage>(id))
       for (auto& order : message.updates) {
-        if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
+        if (auto* line = std::get_if<native_protocol::WeightUpdate>(&order)) {
           if (line->weight > 0) out[line->table][line->endpoint] = line->weight;
           else out[line->table].erase(line->endpoint);
         }
-        if (auto* bind = std::get_if<channel::AssignTableUpdate>(&order)) out[bind->table].clear();
+        if (auto* bind = std::get_if<native_protocol::AssignTableUpdate>(&order)) out[bind->table].clear();
       }
     return out;
   }
@@ -142,9 +142,9 @@
     for (Ms end = now + time; now < end; pass(50))
       for (StreamId id : streams) {
         if (is_closed(id)) continue;
-        auto orders = got<channel::UpdateMessage>(id);
-        if (!orders.empty()) say(id, channel::Acknowledgement{orders.back().sequence});
-        else say(id, channel::Ping{1});
+        auto orders = got<native_protocol::UpdateMessage>(id);
+        if (!orders.empty()) say(id, native_protocol::Acknowledgement{orders.back().sequence});
+        else say(id, native_protocol::Ping{1});
       }
   }
 };
--- a/tests/assigner/streamed_configuration_test.cpp
+++ b/tests/assigner/streamed_configuration_test.cpp
@@ -150,14 +150,14 @@
   std::size_t seen = 0;
   bool ever_empty = false;
   void follow(Rig& rig, StreamId id) {
-    auto all = rig.got<channel::UpdateMessage>(id);
+    auto all = rig.got<native_protocol::UpdateMessage>(id);
     for (; seen < all.size(); ++seen) {
       for (auto& order : all[seen].updates) {
-        if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
+        if (auto* line = std::get_if<native_protocol::WeightUpdate>(&order)) {
           if (line->weight > 0) tables[line->table].insert(line->endpoint);
           else tables[line->table].erase(line->endpoint);
         }
-        if (auto* bind = std::get_if<channel::AssignTableUpdate>(&order)) {
+        if (auto* bind = std::get_if<native_protocol::AssignTableUpdate>(&order)) {
           tables[bind->table].clear();
           for (int c = 0; c < 2; ++c)
             if (bind->classes >> c & 1) of_class[c] = bind->table;
@@ -253,7 +253,7 @@
   EXPECT_LT(times_taken, 12);
   for (StreamId id : streams) {
     std::vector<Ms> times;
-    for (auto& m : rig.got<channel::UpdateMessage>(id))
+    for (auto& m : rig.got<native_protocol::UpdateMessage>(id))
       if (m.decided_at_ms > 1007500) times.push_back(m.decided_at_ms);
     for (std::size_t k = 6; k < times.size(); ++k)
       EXPECT_GT(times[k] - times[k - 6], 3000) << "message " << k << " of proxy stream";
@@ -287,7 +287,7 @@
   begin(1);
   rig.core.reconfigure(changed("streams: heartbeat: 70ms"), 2, 99, rig.now);
   go(100);
-  auto welcomes = rig.got<channel::Welcome>(streams[0]);
+  auto welcomes = rig.got<native_protocol::Welcome>(streams[0]);
   ASSERT_EQ(welcomes.size(), 2u);
   EXPECT_EQ(welcomes[1].heartbeat_ms, 70);
   EXPECT_EQ(welcomes[1].epoch, welcomes[0].epoch);
--- a/tests/audit/rules_test.cpp
+++ b/tests/audit/rules_test.cpp
@@ -31,7 +31,7 @@
 struct Scene {
   std::vector<Taps::Entry> taps;
   void at(Ms when, Seen seen) { taps.push_back({when, std::move(seen)}); }
-  void orders(Ms decided, Ms came, std::vector<channel::Update> all, double lines = 5) {
+  void orders(Ms decided, Ms came, std::vector<native_protocol::Update> all, double lines = 5) {
     at(came, OrdersCame{1, {++sequence, decided, lines, std::move(all)}});
   }
   std::uint64_t sequence = 0;
@@ -42,9 +42,9 @@
     }
     at(2, ProxyStanding{1, 0, {1}});
     at(5000, StreamUp{1, 0});
-    orders(5001, 5002, {channel::AssignTableUpdate{7, 0}, line(1), line(2)});
+    orders(5001, 5002, {native_protocol::AssignTableUpdate{7, 0}, line(1), line(2)});
   }
-  static channel::WeightUpdate line(std::uint32_t endpoint, double weight = 1) {
+  static native_protocol::WeightUpdate line(std::uint32_t endpoint, double weight = 1) {
     return {.table = 0, .endpoint = endpoint, .weight = weight};
   }
   Verdict verdict() const { return judge(taps, limits()); }
@@ -66,8 +66,9 @@
   s.at(8200, Note{""});
   EXPECT_TRUE(s.verdict().broke(Rule::empty));
   Scene withdrawn;
-  withdrawn.orders(6000, 6001,
-                   {channel::ExcludeEndpointUpdate{1, true}, channel::ExcludeEndpointUpdate{2, true}});
+  withdrawn.orders(
+      6000, 6001,
+      {native_protocol::ExcludeEndpointUpdate{1, true}, native_protocol::ExcludeEndpointUpdate{2, true}});
   withdrawn.at(8200, Note{""});
   EXPECT_TRUE(withdrawn.verdict().broke(Rule::empty));
 }
--- a/tests/channel/frames_test.cpp
+++ b/tests/native_protocol/frames_test.cpp
@@ -1,5 +1,5 @@
 // The order channel's frames: however the bytes are cut, whatever they are.
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 #include "draw.h"
 
-namespace beamshunt::channel {
+namespace beamshunt::native_protocol {
 namespace {
 
 std::vector<Frame> one_of_each() {
@@ -131,4 +131,4 @@
 }
 
 }  // namespace
-}  // namespace beamshunt::channel
+}  // namespace beamshunt::native_protocol
--- a/tests/standin/models_test.cpp
+++ b/tests/standin/models_test.cpp
@@ -74,7 +74,7 @@
   EXPECT_NE(s.arrive(2000, {3, 3, 0, "", 5}), ServerModel::Taken::error);
 }
 
-channel::WeightUpdate line(std::uint32_t table, std::uint32_t endpoint, double weight) {
+native_protocol::WeightUpdate line(std::uint32_t table, std::uint32_t endpoint, double weight) {
   return {.table = table, .endpoint = endpoint, .weight = weight, .ip = 1, .port = 1};
 }
 
@@ -82,7 +82,7 @@
   spec.standing = {{.endpoint = 9}};
   ProxyModel p(spec);
   p.stream_begins();
-  p.apply({1, 0, 5, {channel::AssignTableUpdate{3, 0}, line(0, 1, 1), line(0, 2, 3)}});
+  p.apply({1, 0, 5, {native_protocol::AssignTableUpdate{3, 0}, line(0, 1, 1), line(0, 2, 3)}});
   return p;
 }
 
@@ -103,7 +103,7 @@
   p.stream_begins();
   EXPECT_EQ(p.lines_of(0).size(), 2u);
   // The new stream's table 0 is another table: class 1, not bound yet, keeps the old one.
-  p.apply({1, 0, 5, {channel::AssignTableUpdate{1, 0}, line(0, 7, 1)}});
+  p.apply({1, 0, 5, {native_protocol::AssignTableUpdate{1, 0}, line(0, 7, 1)}});
   EXPECT_EQ(p.lines_of(0), std::vector<std::uint32_t>{7});
   EXPECT_EQ(p.lines_of(1), (std::vector<std::uint32_t>{1, 2}));
 }
@@ -119,12 +119,16 @@
 
 TEST(ProxyModel, LetsInByRateAndRefusesAtZero) {
   ProxyModel p = bound();
-  p.apply({2, 0, 5, {channel::AdmissionLimitUpdate{0, 1, 20, 0}, channel::AdmissionLimitUpdate{0, 2, 0, 0}}});
+  p.apply({2,
+           0,
+           5,
+           {native_protocol::AdmissionLimitUpdate{0, 1, 20, 0},
+            native_protocol::AdmissionLimitUpdate{0, 2, 0, 0}}});
   int in = 0;
   for (int ms = 0; ms < 10000; ms += 5) in += p.admit(ms, 0);
   EXPECT_NEAR(in, 200, 8);
   EXPECT_FALSE(p.admit(10000, 1));
-  p.apply({3, 0, 5, {channel::AdmissionLimitUpdate{channel::kAllTables, 1, 5, 0}}});
+  p.apply({3, 0, 5, {native_protocol::AdmissionLimitUpdate{native_protocol::kAllTables, 1, 5, 0}}});
   in = 0;
   for (int ms = 20000; ms < 30000; ms += 5) in += p.admit(ms, 0);
   EXPECT_NEAR(in, 50, 5);  // where both are set, the lower holds
@@ -133,7 +137,7 @@
 TEST(ProxyModel, RetriesByItsModeAlone) {
   ProxyModel p = bound();
   auto mode = [&](std::uint8_t retry) {
-    p.apply({2, 0, 5, {channel::AdmissionLimitUpdate{0, 1, 1e6, retry}}});
+    p.apply({2, 0, 5, {native_protocol::AdmissionLimitUpdate{0, 1, 1e6, retry}}});
   };
   mode(0);
   EXPECT_FALSE(p.may_retry(0, 1, true));
