--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 struct Sink : beamshunt::http::Parser::Sink {
-  void done(beamshunt::http::Message&& m) override {
+  void on_message(beamshunt::http::Message&& m) override {
     if (m.body.size() > 1000) __builtin_trap();
     read += m.method + m.target + std::to_string(m.status) + m.body + "|";
   }
@@ -13,11 +13,12 @@
 
 std::string read(std::string_view bytes, std::size_t cut, beamshunt::http::Parser::Kind kind) {
   Sink sink;
-  beamshunt::http::Parser parser(kind, sink, {.line = 256, .head = 1024, .headers = 16, .body = 1000});
+  beamshunt::http::Parser parser(
+      kind, sink, {.max_line_bytes = 256, .max_head_bytes = 1024, .max_headers = 16, .max_body_bytes = 1000});
   try {
     parser.feed(bytes.substr(0, cut));
     parser.feed(bytes.substr(cut));
-    parser.end();
+    parser.finish();
   } catch (const beamshunt::http::ParseError&) {
   }
   return sink.read;
--- a/src/assigner/configuration_connection.cpp
+++ b/src/assigner/configuration_connection.cpp
@@ -16,7 +16,7 @@
 void ConfigurationConnection::dial(net::Address service) {
   std::uint64_t generation = ++generation_;
   auto is_current = [this, alive = alive_, generation] { return *alive && generation == generation_; };
-  connection_ = net::Connection::dial(reactor_, service, from_, {.most_unsent = max_unsent_});
+  connection_ = net::Connection::dial(reactor_, service, from_, {.max_unsent_bytes = max_unsent_});
   connection_->start({[this, is_current] {
                         if (is_current()) events_.connected();
                       },
@@ -27,7 +27,7 @@
                       [this, is_current](net::CloseReason reason) {
                         if (!is_current()) return;
                         connection_.reset();
-                        events_.closed(net::reason_name(reason));
+                        events_.closed(net::close_reason_name(reason));
                       }});
 }
 
@@ -37,7 +37,7 @@
 
 void ConfigurationConnection::hang_up() {
   ++generation_;
-  if (auto connection = std::exchange(connection_, nullptr)) connection->close_after_sending();
+  if (auto connection = std::exchange(connection_, nullptr)) connection->close_after_flush();
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/configuration_manager.cpp
+++ b/src/assigner/configuration_manager.cpp
@@ -109,7 +109,7 @@
 
 ConfigurationManager::~ConfigurationManager() {
   *alive_ = false;
-  if (timer_) reactor_.cancel(*timer_);
+  if (timer_) reactor_.cancel_timer(*timer_);
 }
 
 void ConfigurationManager::log_startup(const StartupConfiguration& startup) {
@@ -148,10 +148,10 @@
 }
 
 void ConfigurationManager::schedule_timer() {
-  if (timer_) reactor_.cancel(*timer_);
+  if (timer_) reactor_.cancel_timer(*timer_);
   timer_.reset();
   if (client_.next_deadline() >= base::kNever) return;
-  timer_ = reactor_.at(client_.next_deadline(), [this, alive = alive_] {
+  timer_ = reactor_.call_at(client_.next_deadline(), [this, alive = alive_] {
     if (!*alive) return;
     timer_.reset();
     schedule_run();
@@ -210,7 +210,7 @@
   if (client_.supersede_by_queued(ticket, reactor_.now())) return schedule_run();
   if (reactor_.now() >= deadline)
     return reject(ticket, {"rule 5", "", "no room among the messages of some proxy to take it over", ""});
-  reactor_.at(reactor_.now() + kReadyInterval, [this, alive = alive_, ticket, checked, deadline] {
+  reactor_.call_at(reactor_.now() + kReadyInterval, [this, alive = alive_, ticket, checked, deadline] {
     if (*alive) accept_when_ready(ticket, checked, deadline);
   });
 }
@@ -294,7 +294,7 @@
 void ConfigurationManager::apply_when_ready() {
   if (!pending_) return;
   if (!host_.may_apply(*pending_->settings)) {
-    reactor_.at(reactor_.now() + kReadyInterval, [this, alive = alive_] {
+    reactor_.call_at(reactor_.now() + kReadyInterval, [this, alive = alive_] {
       if (*alive) apply_when_ready();
     });
     return;
@@ -305,7 +305,7 @@
 }
 
 void ConfigurationManager::schedule_sample() {
-  reactor_.at(reactor_.now() + kSampleInterval, [this, alive = alive_] {
+  reactor_.call_at(reactor_.now() + kSampleInterval, [this, alive = alive_] {
     if (*alive) sample();
   });
 }
--- a/src/assigner/discovery_connection.cpp
+++ b/src/assigner/discovery_connection.cpp
@@ -16,19 +16,19 @@
     : client_(client), service_(service), instance_(instance), events_(std::move(events)) {}
 
 http::Message DiscoveryConnection::request(const char* path) const {
-  return http::request("GET", std::string(path) + "?instance=" + std::to_string(instance_));
+  return http::make_request("GET", std::string(path) + "?instance=" + std::to_string(instance_));
 }
 
 void DiscoveryConnection::open_watch(Ms idle_timeout) {
   close_watch();
   std::uint64_t generation = ++generation_;
   auto unfinished = std::make_shared<std::string>();
-  watch_ = client_.listen(
+  watch_ = client_.stream_response(
       service_, request("/v1/watch"), idle_timeout,
       [this, generation, unfinished](std::string_view piece) {
         if (generation == generation_) on_piece(*unfinished, piece);
       },
-      [this, generation](http::Client::Answer&& answer) {
+      [this, generation](http::Client::Result&& answer) {
         if (generation == generation_) on_watch_ended(answer);
       });
 }
@@ -51,23 +51,23 @@
   events_.done();
 }
 
-void DiscoveryConnection::on_watch_ended(const http::Client::Answer& answer) {
+void DiscoveryConnection::on_watch_ended(const http::Client::Result& answer) {
   watch_ = 0;
   bool ended_by_service = answer.failure == http::Client::Failure::none;
-  events_.failed(ended_by_service ? "the watch ended with status " + std::to_string(answer.message.status)
+  events_.failed(ended_by_service ? "the watch ended with status " + std::to_string(answer.response.status)
                                   : answer.detail);
   events_.done();
 }
 
 void DiscoveryConnection::fetch(Ms timeout) {
-  client_.ask(service_, request("/v1/list"), timeout,
-              [this](http::Client::Answer&& answer) { on_fetched(answer); });
+  client_.send_request(service_, request("/v1/list"), timeout,
+                       [this](http::Client::Result&& answer) { on_fetched(answer); });
 }
 
-void DiscoveryConnection::on_fetched(const http::Client::Answer& answer) const {
-  if (answer.failure != http::Client::Failure::none || answer.message.status != 200)
+void DiscoveryConnection::on_fetched(const http::Client::Result& answer) const {
+  if (answer.failure != http::Client::Failure::none || answer.response.status != 200)
     events_.failed("fetch failed: " + answer.detail);
-  else events_.line(answer.message.body);
+  else events_.line(answer.response.body);
   events_.done();
 }
 
--- a/src/assigner/discovery_connection.h
+++ b/src/assigner/discovery_connection.h
@@ -36,8 +36,8 @@
 
  private:
   void on_piece(std::string& unfinished, std::string_view piece) const;
-  void on_watch_ended(const http::Client::Answer& answer);
-  void on_fetched(const http::Client::Answer& answer) const;
+  void on_watch_ended(const http::Client::Result& answer);
+  void on_fetched(const http::Client::Result& answer) const;
   [[nodiscard]] http::Message request(const char* path) const;
 
   http::Client& client_;
@@ -46,7 +46,7 @@
   Events events_;
   // Of the last watch: a piece of an earlier one may still be on its way and is dropped.
   std::uint64_t generation_ = 0;
-  http::Client::Call watch_ = 0;  // 0: none is open
+  http::Client::CallId watch_ = 0;  // 0: none is open
 };
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -124,8 +124,9 @@
       state_(settings_.state_folder),
       core_(settings_, state_.next_epoch(log_), state_.load_cached_list(log_), reactor_.now(),
             base::wall_ms()),
-      client_(reactor_,
-              {.from = {settings_.channel.ip, 0}, .idle_ms = kIdleTimeout, .connect_ms = kConnectTimeout}),
+      client_(reactor_, {.source = {settings_.channel.ip, 0},
+                         .idle_timeout_ms = kIdleTimeout,
+                         .connect_timeout_ms = kConnectTimeout}),
       discovery_(client_, settings_.discovery, settings_.instance, discovery_events()),
       record_(reactor_, disk_, log_, settings_.record_file),
       list_writer_(reactor_, disk_, state_, log_, [this] { return core_.list_bytes(); }),
@@ -133,7 +134,7 @@
   core_.set_message_interceptor(std::move(interceptor));
   listener_ = std::make_unique<net::Listener>(
       reactor_, settings_.channel, [this](auto connection) { accept(std::move(connection)); },
-      net::ConnectionOptions{.most_unsent = settings_.most_unsent});
+      net::ConnectionOptions{.max_unsent_bytes = settings_.most_unsent});
   if (settings_.admin)
     admin_ = std::make_unique<AdminServer>(
         reactor_, *settings_.admin, log_, [this] { return core_.status_json(reactor_.now()); },
@@ -164,8 +165,8 @@
   run_scheduled_ = false;
   core_.run_once(reactor_.now());
   for (Effect& effect : core_.take_effects()) std::visit([this](auto& one) { execute(one); }, effect);
-  if (timer_) reactor_.cancel(*timer_);
-  timer_ = reactor_.at(core_.next_due(), [this] {
+  if (timer_) reactor_.cancel_timer(*timer_);
+  timer_ = reactor_.call_at(core_.next_due(), [this] {
     timer_.reset();
     schedule_run();
   });
@@ -191,7 +192,7 @@
                      {},
                      [this, id](net::CloseReason reason) {
                        streams_.erase(id);
-                       core_.stream_closed(id, net::reason_name(reason), reactor_.now());
+                       core_.stream_closed(id, net::close_reason_name(reason), reactor_.now());
                        schedule_run();
                      }});
 }
@@ -203,13 +204,13 @@
 
 void Service::execute(CloseStream& effect) {
   auto stream = streams_.extract(effect.stream);
-  if (!stream.empty()) stream.mapped()->close_after_sending();
+  if (!stream.empty()) stream.mapped()->close_after_flush();
 }
 
 void Service::execute(DialPeer& effect) {
   StreamId id{++last_stream_};
   auto connection = net::Connection::dial(reactor_, effect.address, {settings_.channel.ip, 0},
-                                          {.most_unsent = settings_.most_unsent});
+                                          {.max_unsent_bytes = settings_.most_unsent});
   adopt(id, std::move(connection), [this, id, instance = effect.instance] {
     core_.peer_dialled(id, instance, reactor_.now());
     schedule_run();
@@ -237,12 +238,13 @@
 
 void Service::execute(SendHealthCheckRequest& effect) {
   Ms sent = reactor_.now();
-  client_.ask(effect.address, http::request("GET", "/probe"), settings_.probe_timeout,
-              [this, sent, endpoint = effect.endpoint](http::Client::Answer&& answer) {
-                core_.health_check_completed(endpoint, health_check::outcome_of(answer),
-                                             reactor_.now() - sent, http::parse_numbers(answer.message.body));
-                schedule_run();
-              });
+  client_.send_request(effect.address, http::make_request("GET", "/probe"), settings_.probe_timeout,
+                       [this, sent, endpoint = effect.endpoint](http::Client::Result&& answer) {
+                         core_.health_check_completed(endpoint, health_check::outcome_of(answer),
+                                                      reactor_.now() - sent,
+                                                      http::parse_named_numbers(answer.response.body));
+                         schedule_run();
+                       });
 }
 
 void Service::execute(AppendRecord& effect) { record_.append(std::move(effect.bytes)); }
@@ -253,7 +255,7 @@
 
 telemetry::AssignerMetrics Service::all_figures() {
   telemetry::AssignerMetrics out = core_.figures(reactor_.now());
-  out.longest_turn_s = reactor_.take_longest_turn() / kMsPerSecond;
+  out.longest_turn_s = reactor_.reset_longest_iteration() / kMsPerSecond;
   if (configuration_) configuration_->add_to(out);
   return out;
 }
@@ -301,13 +303,13 @@
   schedule_run();
   if (metrics_writer_) metrics_writer_->finish(settings_.stop_within, [this] { metrics_sent_ = true; });
   else metrics_sent_ = true;
-  reactor_.at(reactor_.now() + settings_.stop_within, [this] { reactor_.stop(); });
+  reactor_.call_at(reactor_.now() + settings_.stop_within, [this] { reactor_.stop(); });
   stop_once_sent();
 }
 
 void Service::stop_once_sent() {
   if (streams_.empty() && !run_scheduled_ && metrics_sent_) return reactor_.stop();
-  reactor_.at(reactor_.now() + kStopInterval, [this] { stop_once_sent(); });
+  reactor_.call_at(reactor_.now() + kStopInterval, [this] { stop_once_sent(); });
 }
 
 }  // namespace
--- a/src/assigner/session.cpp
+++ b/src/assigner/session.cpp
@@ -4,11 +4,11 @@
 
 namespace beamshunt::assigner {
 
-using native_protocol::kHeartbeatsUntilDead;
+using native_protocol::kHeartbeatTimeoutPeriods;
 
 Ms Session::next_check(const SessionTimeouts& timeouts) const {
   if (state == SessionState::handshake_pending) return opened_at + timeouts.handshake;
-  Ms due = std::min(last_received_at + kHeartbeatsUntilDead * timeouts.heartbeat,
+  Ms due = std::min(last_received_at + kHeartbeatTimeoutPeriods * timeouts.heartbeat,
                     std::max(last_sent_at, last_received_at) + timeouts.heartbeat);
   if (auto deadline = acks.deadline(timeouts.ack)) due = std::min(due, *deadline);
   return due;
@@ -17,7 +17,7 @@
 SessionCheck Session::check(const SessionTimeouts& timeouts, Ms now) const {
   if (state == SessionState::handshake_pending) {
     if (now >= opened_at + timeouts.handshake) return SessionCheck::handshake_timed_out;
-  } else if (now >= last_received_at + kHeartbeatsUntilDead * timeouts.heartbeat) {
+  } else if (now >= last_received_at + kHeartbeatTimeoutPeriods * timeouts.heartbeat) {
     return SessionCheck::unresponsive;
   }
   // Alive and not applying updates: its lines would fill the channel's queue and hold up everybody's updates.
--- a/src/assigner/session_protocol.cpp
+++ b/src/assigner/session_protocol.cpp
@@ -8,7 +8,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using native_protocol::kHeartbeatsUntilDead;
+using native_protocol::kHeartbeatTimeoutPeriods;
 using native_protocol::RefuseCode;
 
 // Between dials of one peer: soon enough for gossip, seldom enough for a peer that is down.
@@ -62,7 +62,7 @@
   auto session = sessions_.find(stream);
   if (session == sessions_.end()) return;
   session->second.last_received_at = now;
-  session->second.parser.push(bytes);
+  session->second.parser.append(bytes);
   try {
     while (std::optional<native_protocol::Frame> frame = session->second.parser.next()) {
       handle_frame(session, *frame, now);
@@ -104,7 +104,7 @@
   }
   if (handled) return;
   refuse(session, RefuseCode::unexpected,
-         fmt::format("a {} frame is out of place", native_protocol::kind_name(frame)), 0, now);
+         fmt::format("a {} frame is out of place", native_protocol::frame_kind_name(frame)), 0, now);
 }
 
 bool SessionProtocol::handle_heartbeat_frame(Iterator session, const native_protocol::Frame& frame, Ms now) {
@@ -161,7 +161,7 @@
                               hello.locality, name),
                   0, now);
   if (!replace_former_session(session, hello, now)) return;
-  s.parser.allow(site_.most_frame);
+  s.parser.set_max_payload_bytes(site_.most_frame);
   s.incarnation = hello.incarnation;
   s.attempt = hello.attempt;
   s.expected_rate = hello.expected_rate;
@@ -180,7 +180,7 @@
   // is a restart if the former stream is silent, and else a second proxy by the same id, which must not push
   // the first one out: the two would do so to each other for ever.
   bool same_run = f.incarnation == hello.incarnation && hello.attempt > f.attempt;
-  Ms dead_after = kHeartbeatsUntilDead * site_.heartbeat;
+  Ms dead_after = kHeartbeatTimeoutPeriods * site_.heartbeat;
   if (!same_run && now - f.last_received_at <= dead_after) {
     refuse(session, RefuseCode::id_in_use,
            fmt::format("proxy {} has a live stream from {}", hello.proxy, net::to_string(f.address)),
@@ -200,7 +200,7 @@
     return refuse(session, RefuseCode::unexpected,
                   fmt::format("instance {} is no peer of these settings, or not from there", hello.instance),
                   0, now);
-  s.parser.allow(site_.most_frame);
+  s.parser.set_max_payload_bytes(site_.most_frame);
   s.state = SessionState::peer;
   s.id = hello.instance;
   log(log::Level::info, "peer_connected", {{"instance", std::to_string(hello.instance)}});
@@ -274,7 +274,7 @@
   for (auto session = sessions_.begin(); session != sessions_.end(); ++session) {
     Session& s = session->second;
     if (s.state == SessionState::handshake_pending) continue;
-    s.parser.allow(site_.most_frame);
+    s.parser.set_max_payload_bytes(site_.most_frame);
     if (announce && s.state == SessionState::proxy) send_welcome(session, now);
     sessions_.schedule_check(session, timeouts());
   }
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -87,7 +87,7 @@
 void run(standin::World& world) {
   std::function<void()> forget = [&] {
     world.taps.entries.clear();
-    world.reactor.at(world.now() + 1000, forget);
+    world.reactor.call_at(world.now() + 1000, forget);
   };
   forget();
   world.reactor.run();
@@ -162,14 +162,15 @@
     throw std::runtime_error(
         "an assigner runs on these settings and they give it no listen.admin to be asked at");
   net::Reactor reactor;
-  http::Client client(reactor, {.from = {}});
+  http::Client client(reactor, {.source = {}});
   int result = kUnusable;
-  client.ask(
-      *beginning.settings.admin, http::request("POST", target), 5000, [&](http::Client::Answer&& answer) {
+  client.send_request(
+      *beginning.settings.admin, http::make_request("POST", target), 5000,
+      [&](http::Client::Result&& answer) {
         if (answer.failure != http::Client::Failure::none)
           std::fprintf(stderr, "beamshunt: no answer at %s: %s\n",
                        net::to_string(*beginning.settings.admin).c_str(), answer.detail.c_str());
-        else fmt::print("{}", answer.message.body), result = answer.message.status == 200 ? kWell : kBroken;
+        else fmt::print("{}", answer.response.body), result = answer.response.status == 200 ? kWell : kBroken;
         reactor.stop();
       });
   reactor.run();
@@ -630,7 +631,7 @@
         fmt::print("    {}\n", config_stream::to_string(r));
       std::fflush(stdout);
     }
-    world.reactor.at(world.now() + 20, step);
+    world.reactor.call_at(world.now() + 20, step);
   };
   step();
   run(world);
--- a/src/config_stream/client.cpp
+++ b/src/config_stream/client.cpp
@@ -311,7 +311,7 @@
   }
   if (state_ != State::streaming) return;
   // A service whose machine is gone closes nothing: only its silence shows it.
-  if (now >= last_received_ + native_protocol::kHeartbeatsUntilDead * options_.heartbeat_interval)
+  if (now >= last_received_ + native_protocol::kHeartbeatTimeoutPeriods * options_.heartbeat_interval)
     return end_stream(RefuseCode::silent, fmt::format("no byte for {:.0f} ms", now - last_received_), now);
   // A delivery that never ends would keep every later version out, while its heartbeats go on.
   std::optional<DeliveryAssembler::Progress> delivery = assembler_.progress();
@@ -328,7 +328,7 @@
 Ms Client::next_deadline() const {
   if (state_ == State::connecting) return base::kNever;  // on_connected() or on_disconnected() comes
   if (state_ == State::backing_off) return schedule_.attempt_at();
-  Ms silent_at = last_received_ + native_protocol::kHeartbeatsUntilDead * options_.heartbeat_interval;
+  Ms silent_at = last_received_ + native_protocol::kHeartbeatTimeoutPeriods * options_.heartbeat_interval;
   Ms deadline = std::min(silent_at, last_sent_ + options_.heartbeat_interval);
   if (schedule_.service() != 0) deadline = std::min(deadline, connected_at_ + options_.failback_after);
   std::optional<DeliveryAssembler::Progress> delivery = assembler_.progress();
--- a/src/config_stream/wire.cpp
+++ b/src/config_stream/wire.cpp
@@ -22,18 +22,20 @@
 namespace {
 
 // What the types allow and the protocol does not; null: nothing.
-const char* fault(const Subscribe& x) {
+const char* validation_error(const Subscribe& x) {
   return x.magic != kMagic ? "not this protocol: the magic number differs" : nullptr;
 }
-const char* fault(const Delivery& x) {
+const char* validation_error(const Delivery& x) {
   if (x.number == 0) return "a version of number 0";
   if (x.base >= x.number) return "a change of a version that is not before it";
   return x.part < x.parts ? nullptr : "a part beyond the last";
 }
-const char* fault(const Answer& x) { return x.verdict > Verdict::reverted ? "an unknown verdict" : nullptr; }
-using native_protocol::fault;
+const char* validation_error(const Answer& x) {
+  return x.verdict > Verdict::reverted ? "an unknown verdict" : nullptr;
+}
+using native_protocol::validation_error;
 template <typename T>
-const char* fault(const T&) {
+const char* validation_error(const T&) {
   return nullptr;
 }
 
@@ -53,17 +55,18 @@
 std::string encode(const Frame& frame) {
   base::Encoder payload;
   std::visit([&](const auto& f) { payload(f); }, frame);
-  return native_protocol::framed(frame.index() + 1, payload.bytes());
+  return native_protocol::encode_frame(frame.index() + 1, payload.bytes());
 }
 
 std::optional<Frame> FrameParser::next() {
-  auto piece = framing_.look();
+  auto piece = framing_.peek();
   if (!piece) return std::nullopt;
   base::Decoder payload(piece->payload);
   try {
-    auto frame = native_protocol::decode_kind<Frame>(piece->kind, payload);
-    if (const char* reason = std::visit([](const auto& f) { return fault(f); }, frame)) payload.fail(reason);
-    framing_.take(*piece);
+    auto frame = native_protocol::decode_payload<Frame>(piece->kind, payload);
+    if (const char* reason = std::visit([](const auto& f) { return validation_error(f); }, frame))
+      payload.fail(reason);
+    framing_.consume(*piece);
     return frame;
   } catch (const base::DecodeError& error) {
     throw native_protocol::ProtocolError(native_protocol::RefuseCode::bad_frame, piece->offset + error.offset,
--- a/src/config_stream/wire.h
+++ b/src/config_stream/wire.h
@@ -115,13 +115,13 @@
  public:
   // `max_bytes`: of one frame; a longer one is refused before its payload is there.
   explicit FrameParser(std::size_t max_bytes) : framing_(max_bytes, std::variant_size_v<Frame>) {}
-  void push(std::string_view bytes) { framing_.push(bytes); }
-  // The next whole frame, if there is one. Throws native_protocol::ProtocolError, with the code for the peer and the
-  // offset in the stream; the stream is then at its end.
+  void push(std::string_view bytes) { framing_.append(bytes); }
+  // The next whole frame, if there is one. Throws native_protocol::ProtocolError, with the code for the peer
+  // and the offset in the stream; the stream is then at its end.
   std::optional<Frame> next();
 
  private:
-  native_protocol::Framing framing_;
+  native_protocol::FrameSplitter framing_;
 };
 
 template <class A>
--- a/src/day/player.cpp
+++ b/src/day/player.cpp
@@ -343,7 +343,7 @@
 
   // ---- The stage, as the script moves it ----
   void after(Ms wait, std::function<void()> call) override {
-    world_.reactor.at(world_.now() + wait, std::move(call));
+    world_.reactor.call_at(world_.now() + wait, std::move(call));
   }
   void say(const std::string& text) override {
     world_.note(Note{text});
--- a/src/day/versions.cpp
+++ b/src/day/versions.cpp
@@ -111,8 +111,8 @@
   if (t.how == "storm") {  // size: versions over the time
     auto count = static_cast<std::size_t>(t.size);
     for (std::size_t k = 0; k < count; ++k)
-      world_.reactor.at(world_.now() + t.lasts * static_cast<double>(k) / static_cast<double>(count),
-                        [this] { last_good_ = services_.front()->publish(good()); });
+      world_.reactor.call_at(world_.now() + t.lasts * static_cast<double>(k) / static_cast<double>(count),
+                             [this] { last_good_ = services_.front()->publish(good()); });
     return fmt::format("a storm of {} versions in {} ms", count, t.lasts);
   }
   if (t.how == "disagree" && services_.size() > 1) {  // the second service makes versions of its own
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -571,8 +571,8 @@
                                      .locality = x.model->spec().locality_name,
                                      .expected_rate = x.rate,
                                      .only_static_tables = x.model->only_standing(),
-                                     .held_epoch = x.epoch,
-                                     .held_sequence = x.applied});
+                                     .applied_epoch = x.epoch,
+                                     .applied_sequence = x.applied});
     });
   }
   // The proxy's side of a stream ends; the assigner's hears of it, if anything passes.
@@ -674,7 +674,7 @@
     ProxyRun& p = proxies_[k];
     if (p.life != life) return;
     Ms now = engine_.now();
-    if (p.open && now - p.heard > native_protocol::kHeartbeatsUntilDead * p.heartbeat) redial(k);
+    if (p.open && now - p.heard > native_protocol::kHeartbeatTimeoutPeriods * p.heartbeat) redial(k);
     else if (p.joined && now - p.sent >= p.heartbeat) send(k, native_protocol::Ping{p.applied});
     engine_.after(p.heartbeat / 2, [this, k, life] { beat(k, life); });
   }
--- a/src/gate/prove.cpp
+++ b/src/gate/prove.cpp
@@ -157,11 +157,11 @@
              fmt::format("an order may travel for {} ms; who has not confirmed it after {} ms is cut off",
                          there, next_.confirm_within),
              ms(2 * there + 1));
-    if (native_protocol::kHeartbeatsUntilDead * next_.heartbeat < 2 * there)
+    if (native_protocol::kHeartbeatTimeoutPeriods * next_.heartbeat < 2 * there)
       refuse("rule 1", "streams.heartbeat",
              fmt::format("a silence of {} ms ends a stream, a ping's way and back may take {}",
-                         native_protocol::kHeartbeatsUntilDead * next_.heartbeat, 2 * there),
-             ms(2 * there / native_protocol::kHeartbeatsUntilDead));
+                         native_protocol::kHeartbeatTimeoutPeriods * next_.heartbeat, 2 * there),
+             ms(2 * there / native_protocol::kHeartbeatTimeoutPeriods));
     if (next_.most_streams < fleet_.streams)
       refuse("rule 1", "streams.most",
              fmt::format("{} streams are open: who must dial again would be turned away", fleet_.streams),
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -98,7 +98,7 @@
       default: {
         std::size_t newline = bytes.find('\n');
         took = newline == std::string_view::npos ? bytes.size() : newline + 1;
-        if (line_.size() + took > limits_.line)
+        if (line_.size() + took > limits_.max_line_bytes)
           fail(state_ == State::start ? 400 : 431, "a line is too long");
         line_ += bytes.substr(0, took);
         fed_ += took;
@@ -114,14 +114,14 @@
   }
 }
 
-void Parser::end() {
+void Parser::finish() {
   if (state_ == State::to_end) return message_done();
   if (!between_messages()) fail(400, "the stream ends inside a message");
 }
 
 void Parser::line(std::string_view text) {
   head_bytes_ += text.size();
-  if (head_bytes_ > limits_.head) fail(431, "the head is too long");
+  if (head_bytes_ > limits_.max_head_bytes) fail(431, "the head is too long");
   switch (state_) {
     case State::start:
       if (text.empty() && kind_ == Kind::request) return;  // RFC 9112 2.2: skip an empty line
@@ -165,15 +165,15 @@
     if (text.size() > first + 4 && text[first + 4] != ' ') fail(502, "not a status line");
     if (text.size() > first + 5) message_.reason = text.substr(first + 5);
   }
-  if (version == "HTTP/1.1") message_.minor = 1;
-  else if (version == "HTTP/1.0") message_.minor = 0;
+  if (version == "HTTP/1.1") message_.minor_version = 1;
+  else if (version == "HTTP/1.0") message_.minor_version = 0;
   else fail(version.substr(0, 5) == "HTTP/" ? 505 : 400, "not HTTP/1.1");
-  message_.keep_alive = message_.minor == 1;
+  message_.keep_alive = message_.minor_version == 1;
   state_ = State::headers;
 }
 
 void Parser::header_line(std::string_view text) {
-  if (message_.headers.size() >= limits_.headers) fail(431, "too many headers");
+  if (message_.headers.size() >= limits_.max_headers) fail(431, "too many headers");
   if (text[0] == ' ' || text[0] == '\t') fail(400, "a folded header");
   std::size_t colon = text.find(':');
   if (colon == std::string_view::npos) fail(400, "a header without a colon");
@@ -203,9 +203,9 @@
   }
   // Where both are given, two readers may see two different messages: request smuggling.
   if (chunked && sized) fail(400, "both a content length and a transfer coding");
-  if (chunked && message_.minor == 0) fail(400, "a transfer coding in HTTP/1.0");
-  if (sized && size > limits_.body) fail(413, "a body of " + std::to_string(size) + " bytes");
-  if (kind_ == Kind::request && message_.minor == 1 && message_.header("host").empty())
+  if (chunked && message_.minor_version == 0) fail(400, "a transfer coding in HTTP/1.0");
+  if (sized && size > limits_.max_body_bytes) fail(413, "a body of " + std::to_string(size) + " bytes");
+  if (kind_ == Kind::request && message_.minor_version == 1 && message_.header("host").empty())
     fail(400, "no host header");
   bool interim = kind_ == Kind::response && message_.status < 200;
   body_bytes_ = 0;
@@ -223,14 +223,15 @@
   if (!given || digits.size() > 16) fail(400, "not a chunk size");
   left_ = *given;
   state_ = left_ == 0 ? State::trailers : State::chunk;
-  if (left_ > limits_.body) fail(413, "a chunk of " + std::to_string(left_) + " bytes");
+  if (left_ > limits_.max_body_bytes) fail(413, "a chunk of " + std::to_string(left_) + " bytes");
 }
 
 std::size_t Parser::take_body(std::string_view bytes, std::size_t most) {
   bytes = bytes.substr(0, most);
-  if (sink_.body(bytes)) return bytes.size();
+  if (sink_.on_body(bytes)) return bytes.size();
   body_bytes_ += bytes.size();
-  if (body_bytes_ > limits_.body) fail(413, "a body over " + std::to_string(limits_.body) + " bytes");
+  if (body_bytes_ > limits_.max_body_bytes)
+    fail(413, "a body over " + std::to_string(limits_.max_body_bytes) + " bytes");
   message_.body += bytes;
   return bytes.size();
 }
@@ -240,7 +241,7 @@
   state_ = State::start;
   head_bytes_ = 0;
   Message whole = std::exchange(message_, {});
-  if (!interim) sink_.done(std::move(whole));
+  if (!interim) sink_.on_message(std::move(whole));
 }
 
 std::string serialize(const Message& m) {
@@ -259,7 +260,7 @@
   return out + "\r\n" + m.body;
 }
 
-Message response(int status, std::string body, std::string_view type) {
+Message make_response(int status, std::string body, std::string_view type) {
   Message m;
   m.status = status;
   m.body = std::move(body);
@@ -267,7 +268,7 @@
   return m;
 }
 
-Message request(std::string method, std::string target, std::string body) {
+Message make_request(std::string method, std::string target, std::string body) {
   Message m;
   m.method = std::move(method);
   m.target = std::move(target);
@@ -276,6 +277,6 @@
   return m;
 }
 
-std::string chunk(std::string_view data) { return fmt::format("{:x}\r\n{}\r\n", data.size(), data); }
+std::string encode_chunk(std::string_view data) { return fmt::format("{:x}\r\n{}\r\n", data.size(), data); }
 
 }  // namespace beamshunt::http
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -15,7 +15,7 @@
   std::string method, target;  // of a request
   int status = 0;              // of a response
   std::string reason;
-  int minor = 1;                                             // of HTTP/1.x
+  int minor_version = 1;                                     // of HTTP/1.x
   std::vector<std::pair<std::string, std::string>> headers;  // names in lower case
   std::string body;                                          // whole, unless the parser streams it
   bool keep_alive = true;
@@ -24,7 +24,8 @@
 };
 
 struct Limits {  // bytes, but for `headers`
-  std::size_t line = 8192, head = 32768, headers = 100, body = std::size_t{4} * 1048576;
+  std::size_t max_line_bytes = 8192, max_head_bytes = 32768, max_headers = 100,
+              max_body_bytes = std::size_t{4} * 1048576;
 };
 
 // A message that breaks the rules. `status` is what a server answers, `offset` counts bytes fed since the
@@ -43,8 +44,8 @@
   struct Sink {
     virtual ~Sink() = default;
     // A part of a streamed body. True if the sink takes it; else it is collected in Message::body.
-    virtual bool body(std::string_view) { return false; }
-    virtual void done(Message&& message) = 0;
+    virtual bool on_body(std::string_view) { return false; }
+    virtual void on_message(Message&& message) = 0;
   };
 
   Parser(Kind kind, Sink& sink, Limits limits = {}) : kind_(kind), sink_(sink), limits_(limits) {}
@@ -53,9 +54,9 @@
   void feed(std::string_view bytes);
   // The peer sends no more: ends a response whose body lasts to the end of the stream. Throws ParseError if
   // the end comes inside a message.
-  void end();
+  void finish();
   // The next response answers a request of this method (HEAD has no body).
-  void answers(std::string_view method) { no_body_ = method == "HEAD"; }
+  void set_request_method(std::string_view method) { no_body_ = method == "HEAD"; }
   int status() const { return message_.status; }  // of the response whose body is being read
   bool between_messages() const { return state_ == State::start && line_.empty(); }
 
@@ -83,8 +84,8 @@
 
 // The bytes of a message; a Content-Length is added, the body goes as it is.
 std::string serialize(const Message& message);
-Message response(int status, std::string body, std::string_view type = "application/json");
-Message request(std::string method, std::string target, std::string body = {});
-std::string chunk(std::string_view data);  // of a chunked body; an empty one ends it
+Message make_response(int status, std::string body, std::string_view type = "application/json");
+Message make_request(std::string method, std::string target, std::string body = {});
+std::string encode_chunk(std::string_view data);  // of a chunked body; an empty one ends it
 
 }  // namespace beamshunt::http
--- a/src/http/numbers.cpp
+++ b/src/http/numbers.cpp
@@ -5,7 +5,7 @@
 
 namespace beamshunt::http {
 
-std::map<std::string, double> parse_numbers(std::string_view text) {
+std::map<std::string, double> parse_named_numbers(std::string_view text) {
   std::map<std::string, double> out;
   auto json = nlohmann::json::parse(text, nullptr, false);
   if (!json.is_object()) return out;
--- a/src/http/numbers.h
+++ b/src/http/numbers.h
@@ -8,6 +8,6 @@
 namespace beamshunt::http {
 
 // The finite numbers of the object; what else it holds is skipped, and what is no object holds none.
-std::map<std::string, double> parse_numbers(std::string_view json);
+std::map<std::string, double> parse_named_numbers(std::string_view json);
 
 }  // namespace beamshunt::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -31,8 +31,9 @@
       parser.feed(bytes);
     } catch (const ParseError& error) {
       refused = true;
-      if (server && server->options_.on_bad) server->options_.on_bad(connection->peer(), error);
-      Message answer = response(error.status, std::string(error.what()) + "\n", "text/plain");
+      if (server && server->options_.on_malformed_request)
+        server->options_.on_malformed_request(connection->peer(), error);
+      Message answer = make_response(error.status, std::string(error.what()) + "\n", "text/plain");
       answer.keep_alive = false;
       auto exchange = open_exchange();
       exchange->keep_alive = false;
@@ -48,10 +49,10 @@
     waiting.push_back(exchange);
     return exchange;
   }
-  void done(Message&& request) override {
+  void on_message(Message&& request) override {
     auto exchange = open_exchange();
     exchange->keep_alive = request.keep_alive;
-    if (waiting.size() >= server->options_.most_pipelined) connection->pause(true);
+    if (waiting.size() >= server->options_.max_pipelined_requests) connection->set_reading_paused(true);
     server->handle_(std::move(request), Responder(exchange));
   }
   void flush() {
@@ -65,14 +66,15 @@
       if (!front->keep_alive) {
         auto closing = connection;
         gone();
-        return closing->close_after_sending();
+        return closing->close_after_flush();
       }
-      if (server && waiting.size() + 1 == server->options_.most_pipelined) connection->pause(false);
+      if (server && waiting.size() + 1 == server->options_.max_pipelined_requests)
+        connection->set_reading_paused(false);
     }
     if (peer_ended) {
       auto closing = connection;
       gone();
-      closing->close_after_sending();
+      closing->close_after_flush();
     }
   }
   void reset() {
@@ -110,24 +112,24 @@
 }
 
 bool Responder::begin_stream(int status, std::string_view type) const {
-  Message head = response(status, {});
+  Message head = make_response(status, {});
   head.headers.emplace_back("content-type", type);
   head.headers.emplace_back("transfer-encoding", "chunked");
   exchange_->out += serialize(head);
-  return stream({});
+  return send_chunk({});
 }
 
-bool Responder::stream(std::string_view piece) const {
-  if (!piece.empty()) exchange_->out += chunk(piece);
+bool Responder::send_chunk(std::string_view piece) const {
+  if (!piece.empty()) exchange_->out += encode_chunk(piece);
   auto s = exchange_->session.lock();
   if (!s || !s->server) return false;
   s->flush();
-  return alive();
+  return is_connected();
 }
 
 void Responder::end_stream() const {
   if (exchange_->done) return;
-  exchange_->out += chunk({});
+  exchange_->out += encode_chunk({});
   exchange_->done = true;
   if (auto s = exchange_->session.lock(); s && s->server) s->flush();
 }
@@ -137,19 +139,19 @@
   if (auto s = exchange_->session.lock(); s && s->server) s->reset();
 }
 
-bool Responder::alive() const {
+bool Responder::is_connected() const {
   auto s = exchange_->session.lock();
-  return s && s->server && s->connection->open();
+  return s && s->server && s->connection->is_open();
 }
 
 net::Address Responder::peer() const { return exchange_->peer; }
 
-Server::Server(net::Reactor& reactor, net::Address at, Handle handle, Options options)
+Server::Server(net::Reactor& reactor, net::Address at, RequestHandler handle, Options options)
     : reactor_(reactor), handle_(std::move(handle)), options_(std::move(options)) {
   listener_ = std::make_unique<net::Listener>(
       reactor_, at,
       [this](std::shared_ptr<net::Connection> c) {
-        if (options_.admit && !options_.admit(c->peer())) return c->close();
+        if (options_.accept_peer && !options_.accept_peer(c->peer())) return c->close();
         auto session = std::make_shared<Session>(*this, std::move(c));
         sessions_.insert(session);
         session->start();
@@ -157,9 +159,9 @@
       net::ConnectionOptions{.tls = options_.tls});
 }
 
-Server::~Server() { reset_all(); }
+Server::~Server() { reset_connections(); }
 
-void Server::reset_all() {
+void Server::reset_connections() {
   for (auto& session : std::exchange(sessions_, {})) session->reset();
 }
 
@@ -170,28 +172,30 @@
       : client(&c), to(t), parser(Parser::Kind::response, *this, c.options_.limits) {}
 
   void dial() {
-    connection = net::Connection::dial(client->reactor_, to, client->options_.from,
-                                       {.tls = client->options_.tls, .tls_name = client->options_.tls_name});
+    connection =
+        net::Connection::dial(client->reactor_, to, client->options_.source,
+                              {.tls = client->options_.tls, .tls_peer_name = client->options_.tls_peer_name});
     dialling = true;
     connection->start({[this] { dialling = false, arm(); }, [this](std::string_view bytes) { feed(bytes); },
                        [this] { ended(); },
                        [this](net::CloseReason reason) {
                          bool never = std::exchange(dialling, false);
-                         fail(never ? Failure::connect : Failure::broken, net::reason_name(reason));
+                         fail(never ? Failure::connect_failed : Failure::connection_lost,
+                              net::close_reason_name(reason));
                        }});
   }
   void arm() {  // the time that the present state may last
     disarm();
-    Ms wait = dialling ? std::min(client->options_.connect_ms, timeout_ms) : timeout_ms;
-    timer = client->reactor_.at(client->reactor_.now() + wait, [this] {
+    Ms wait = dialling ? std::min(client->options_.connect_timeout_ms, timeout_ms) : timeout_ms;
+    timer = client->reactor_.call_at(client->reactor_.now() + wait, [this] {
       armed = false;
-      fail(dialling ? Failure::connect : Failure::timed_out,
+      fail(dialling ? Failure::connect_failed : Failure::timed_out,
            dialling ? "no connection in time" : "no answer in time");
     });
     armed = true;
   }
   void disarm() {
-    if (std::exchange(armed, false)) client->reactor_.cancel(timer);
+    if (std::exchange(armed, false)) client->reactor_.cancel_timer(timer);
   }
   void feed(std::string_view bytes) {
     auto self = shared_from_this();
@@ -207,14 +211,14 @@
     auto self = shared_from_this();
     if (call != 0) {
       try {
-        parser.end();
+        parser.finish();
       } catch (const ParseError& error) {
-        return fail(Failure::broken, error.what());
+        return fail(Failure::connection_lost, error.what());
       }
     }
-    if (client) fail(Failure::broken, "ended");
+    if (client) fail(Failure::connection_lost, "ended");
   }
-  bool body(std::string_view part) override {
+  bool on_body(std::string_view part) override {
     // The body of a refusal is no part of what is listened for: it comes whole, with its status, in the
     // answer.
     if (!piece || parser.status() != 200) return false;
@@ -222,22 +226,26 @@
     give(part);
     return true;
   }
-  void done(Message&& message) override {
+  void on_message(Message&& message) override {
     if (!client || call == 0) return;
     auto self = shared_from_this();
     disarm();
-    Answer answer{
-        .failure = Failure::none, .detail = {}, .message = std::move(message), .fresh = fresh, .sent = true};
+    Result answer{.failure = Failure::none,
+                  .detail = {},
+                  .response = std::move(message),
+                  .new_connection = fresh,
+                  .request_sent = true};
     auto tell = finish_call();
     // No place is made for connections to this address until one is kept: start() takes the last of a place.
     auto kept = client->idle_.find(to);
     std::size_t idle = kept == client->idle_.end() ? 0 : kept->second.size();
-    if (!answer.message.keep_alive || !connection->open() || idle >= client->options_.most_idle) {
+    if (!answer.response.keep_alive || !connection->is_open() ||
+        idle >= client->options_.max_idle_connections) {
       drop();
     } else {
       fresh = false;
       client->idle_[to].push_back(self);
-      timer = client->reactor_.at(client->reactor_.now() + client->options_.idle_ms, [this] {
+      timer = client->reactor_.call_at(client->reactor_.now() + client->options_.idle_timeout_ms, [this] {
         armed = false;
         auto hold = shared_from_this();
         forget_idle();
@@ -247,7 +255,7 @@
     }
     tell(std::move(answer));
   }
-  Done finish_call() {
+  ResultCallback finish_call() {
     client->busy_.erase(std::exchange(call, 0));
     piece = nullptr;
     return std::exchange(tell_done, nullptr);
@@ -266,11 +274,11 @@
       forget_idle();
       return drop();
     }
-    Answer answer{.failure = failure,
+    Result answer{.failure = failure,
                   .detail = std::move(detail),
-                  .message = {},
-                  .fresh = fresh,
-                  .sent = !dialling && failure != Failure::connect};
+                  .response = {},
+                  .new_connection = fresh,
+                  .request_sent = !dialling && failure != Failure::connect_failed};
     auto tell = finish_call();
     drop();
     tell(std::move(answer));
@@ -286,10 +294,10 @@
   net::Address to;
   std::shared_ptr<net::Connection> connection;
   Parser parser;
-  Call call = 0;
+  CallId call = 0;
   Ms timeout_ms = 0;
   std::function<void(std::string_view)> piece;
-  Done tell_done;
+  ResultCallback tell_done;
   net::Reactor::TimerId timer{};
   bool armed = false, dialling = false, fresh = true;
 };
@@ -300,17 +308,18 @@
     for (auto& link : links) link->drop();
 }
 
-Client::Call Client::ask(net::Address to, const Message& message, Ms timeout_ms, Done done) {
+Client::CallId Client::send_request(net::Address to, const Message& message, Ms timeout_ms,
+                                    ResultCallback done) {
   return start(to, message, timeout_ms, nullptr, std::move(done));
 }
 
-Client::Call Client::listen(net::Address to, const Message& message, Ms quiet_ms,
-                            std::function<void(std::string_view)> piece, Done done) {
+Client::CallId Client::stream_response(net::Address to, const Message& message, Ms quiet_ms,
+                                       std::function<void(std::string_view)> piece, ResultCallback done) {
   return start(to, message, quiet_ms, std::move(piece), std::move(done));
 }
 
-Client::Call Client::start(net::Address to, const Message& message, Ms timeout_ms,
-                           std::function<void(std::string_view)> piece, Done done) {
+Client::CallId Client::start(net::Address to, const Message& message, Ms timeout_ms,
+                             std::function<void(std::string_view)> piece, ResultCallback done) {
   std::shared_ptr<Link> link;
   if (auto kept = idle_.find(to); kept != idle_.end()) {
     link = kept->second.back();  // the one used last is the likeliest to live
@@ -324,20 +333,20 @@
   link->timeout_ms = timeout_ms;
   link->piece = std::move(piece);
   link->tell_done = std::move(done);
-  link->parser.answers(message.method);
+  link->parser.set_request_method(message.method);
   busy_[link->call] = link;
-  Call call = link->call;
+  CallId call = link->call;
   link->arm();
   link->connection->send(serialize(message));
   return call;
 }
 
-void Client::cancel(Call call) {
+void Client::cancel(CallId call) {
   auto found = busy_.extract(call);
   if (!found.empty()) found.mapped()->drop();
 }
 
-void Client::drop_idle(net::Address to) {
+void Client::close_idle(net::Address to) {
   auto found = idle_.extract(to);
   if (found.empty()) return;
   for (auto& link : found.mapped()) link->drop();
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -24,10 +24,10 @@
   void send(const Message& message) const;
   // A chunked answer of unknown length: head, then pieces; false once the peer is gone.
   bool begin_stream(int status, std::string_view type) const;
-  bool stream(std::string_view piece) const;
+  bool send_chunk(std::string_view piece) const;
   void end_stream() const;
   void reset() const;  // the connection breaks
-  bool alive() const;
+  bool is_connected() const;
   net::Address peer() const;
 
  private:
@@ -36,25 +36,25 @@
 
 class Server {
  public:
-  using Handle = std::function<void(Message&& request, Responder responder)>;
+  using RequestHandler = std::function<void(Message&& request, Responder responder)>;
   struct Options {
     Limits limits{};
-    std::size_t most_pipelined = 64;  // more waiting requests of one connection are not read
+    std::size_t max_pipelined_requests = 64;  // more waiting requests of one connection are not read
     std::shared_ptr<const net::TlsContext> tls{};
-    std::function<bool(net::Address)> admit{};  // else closed at once
-    std::function<void(net::Address, const ParseError&)> on_bad{};
+    std::function<bool(net::Address)> accept_peer{};  // else closed at once
+    std::function<void(net::Address, const ParseError&)> on_malformed_request{};
   };
-  Server(net::Reactor& reactor, net::Address at, Handle handle, Options options);
+  Server(net::Reactor& reactor, net::Address at, RequestHandler handle, Options options);
   ~Server();
   net::Address address() const { return listener_->address(); }
-  void reset_all();  // breaks every connection
-  std::size_t connections() const { return sessions_.size(); }
+  void reset_connections();  // breaks every connection
+  std::size_t connection_count() const { return sessions_.size(); }
 
   struct Session;
 
  private:
   net::Reactor& reactor_;
-  Handle handle_;
+  RequestHandler handle_;
   Options options_;
   std::set<std::shared_ptr<Session>> sessions_;
   std::unique_ptr<net::Listener> listener_;
@@ -62,45 +62,45 @@
 
 class Client {
  public:
-  enum class Failure { none, connect, timed_out, broken, malformed };
-  struct Answer {
+  enum class Failure { none, connect_failed, timed_out, connection_lost, malformed };
+  struct Result {
     Failure failure = Failure::none;
-    std::string detail;  // of a failure
-    Message message;     // where there is none
-    bool fresh = false;  // came by a newly dialled connection
-    bool sent = false;   // the request's bytes went to a connection
+    std::string detail;           // of a failure
+    Message response;             // where there is none
+    bool new_connection = false;  // came by a newly dialled connection
+    bool request_sent = false;    // the request's bytes went to a connection
   };
-  using Done = std::function<void(Answer&&)>;
-  using Call = std::uint64_t;
+  using ResultCallback = std::function<void(Result&&)>;
+  using CallId = std::uint64_t;
   struct Options {
-    net::Address from{};  // source address of the connections
-    Ms idle_ms = 15000, connect_ms = 1000;
-    std::size_t most_idle = 64;  // kept connections to one address
+    net::Address source{};  // source address of the connections
+    Ms idle_timeout_ms = 15000, connect_timeout_ms = 1000;
+    std::size_t max_idle_connections = 64;  // kept connections to one address
     Limits limits{};
     std::shared_ptr<const net::TlsContext> tls{};
-    std::string tls_name{};
+    std::string tls_peer_name{};
   };
 
   Client(net::Reactor& reactor, Options options) : reactor_(reactor), options_(std::move(options)) {}
   ~Client();
-  Call ask(net::Address to, const Message& message, Ms timeout_ms, Done done);
+  CallId send_request(net::Address to, const Message& message, Ms timeout_ms, ResultCallback done);
   // The same for an answer without end: `piece` is given each part of the body of a 200; `done` follows at
   // its end or failure. `quiet_ms` is the longest time without a byte.
-  Call listen(net::Address to, const Message& message, Ms quiet_ms,
-              std::function<void(std::string_view)> piece, Done done);
-  void cancel(Call call);           // no answer follows; its connection is closed
-  void drop_idle(net::Address to);  // closes kept connections
+  CallId stream_response(net::Address to, const Message& message, Ms quiet_ms,
+                         std::function<void(std::string_view)> piece, ResultCallback done);
+  void cancel(CallId call);          // no answer follows; its connection is closed
+  void close_idle(net::Address to);  // closes kept connections
 
   struct Link;
 
  private:
   friend struct Link;
-  Call start(net::Address to, const Message& message, Ms timeout_ms,
-             std::function<void(std::string_view)> piece, Done done);
+  CallId start(net::Address to, const Message& message, Ms timeout_ms,
+               std::function<void(std::string_view)> piece, ResultCallback done);
   net::Reactor& reactor_;
   Options options_;
-  Call next_ = 1;
-  std::map<Call, std::shared_ptr<Link>> busy_;
+  CallId next_ = 1;
+  std::map<CallId, std::shared_ptr<Link>> busy_;
   std::map<net::Address, std::deque<std::shared_ptr<Link>>> idle_;
 };
 
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -45,7 +45,7 @@
         seconds_(seconds),
         schedule_(o.rate, o.seed),
         random_(o.seed, 7),
-        client_(reactor, http::Client::Options{.from = o.from, .most_idle = o.most_open}) {}
+        client_(reactor, http::Client::Options{.source = o.from, .max_idle_connections = o.most_open}) {}
 
   Loaded play() {
     begun_ = base::monotonic_ms();
@@ -64,20 +64,20 @@
       return stop_if_done();
     }
     Ms due = begun_ + *at;
-    reactor_.at(due, [this, due] {
+    reactor_.call_at(due, [this, due] {
       send(due);
       next();
     });
   }
   void second() {
-    tick_ = reactor_.at(reactor_.now() + 1000, [this] {
+    tick_ = reactor_.call_at(reactor_.now() + 1000, [this] {
       seconds_(out_);
       second();
     });
   }
   void stop_if_done() {
     if (!ended_ || open_ > 0) return;
-    reactor_.cancel(tick_);
+    reactor_.cancel_timer(tick_);
     reactor_.stop();
   }
   void send(Ms due) {
@@ -97,16 +97,16 @@
                                            .number = 1});
     net::Address to = options_.to[number % options_.to.size()];
     Ms left = std::max(1.0, due + options_.deadline - sent);
-    client_.ask(to, m, left, [this, due, sent](http::Client::Answer&& a) {
+    client_.send_request(to, m, left, [this, due, sent](http::Client::Result&& a) {
       using Failure = http::Client::Failure;
       --open_;
       if (a.failure == Failure::timed_out) {
         ++out_.late;
       } else if (a.failure != Failure::none) {
         ++out_.broken;
-      } else if (a.message.status == 503) {
+      } else if (a.response.status == 503) {
         ++out_.refused;
-      } else if (a.message.status != 200) {
+      } else if (a.response.status != 200) {
         ++out_.errors;
       } else {
         Ms now = base::monotonic_ms();
--- a/src/measure/measure.cpp
+++ b/src/measure/measure.cpp
@@ -101,7 +101,7 @@
   };
 
   void report_again(std::size_t k, Ms period, Ms when) {
-    reactor_.at(when, [this, k, period, when, alive = std::weak_ptr(alive_)] {
+    reactor_.call_at(when, [this, k, period, when, alive = std::weak_ptr(alive_)] {
       if (alive.expired()) return;
       send_report(*streams_[k], period);
       report_again(k, period, when + period);
@@ -111,7 +111,7 @@
     constexpr std::size_t kAtOnce = 200;
     for (std::size_t k = 0; k < kAtOnce && next_ < streams_.size(); ++k, ++next_) dial(*streams_[next_]);
     if (next_ < streams_.size())
-      reactor_.at(reactor_.now() + 20, [this, alive = std::weak_ptr(alive_)] {
+      reactor_.call_at(reactor_.now() + 20, [this, alive = std::weak_ptr(alive_)] {
         if (!alive.expired()) dial_some();
       });
   }
@@ -133,7 +133,7 @@
          [this, &s](std::string_view bytes) { came(s, bytes); },
          {},
          [](net::CloseReason reason) {
-           throw std::runtime_error(std::string("a stream broke: ") + net::reason_name(reason));
+           throw std::runtime_error(std::string("a stream broke: ") + net::close_reason_name(reason));
          }});
   }
   void came(Stream& s, std::string_view bytes) {
@@ -225,14 +225,14 @@
       bool met = done();
       if (!met) late = world_.now() > limit;
       if (met || late) return world_.reactor.stop();
-      world_.reactor.at(world_.now() + 5, look);
+      world_.reactor.call_at(world_.now() + 5, look);
     };
-    world_.reactor.at(world_.now(), look);
+    world_.reactor.call_at(world_.now(), look);
     world_.reactor.run();
     if (late) throw std::runtime_error("a measurement did not get ready in time");
   }
   void wait(Ms time) {
-    world_.reactor.at(world_.now() + time, [this] { world_.reactor.stop(); });
+    world_.reactor.call_at(world_.now() + time, [this] { world_.reactor.stop(); });
     world_.reactor.run();
   }
   void await_listener(net::Address at) {
@@ -352,7 +352,7 @@
     standin::Listing l = listing(turn / 2 % static_cast<std::uint32_t>(o_.servers) + 1);
     if (turn % 2 == 0) l.state = standin::ListTold::State::terminating;
     list_->change(l, 0);
-    world_.reactor.at(world_.now() + 100, [this, turn] { change_list(turn + 1); });
+    world_.reactor.call_at(world_.now() + 100, [this, turn] { change_list(turn + 1); });
   }
   void answer_times(const std::string& kind, standin::Receiver& receiver) {
     constexpr Ms kEvery = 100;
--- a/src/native_protocol/frames.cpp
+++ b/src/native_protocol/frames.cpp
@@ -9,7 +9,7 @@
 template <class A>
 void fields(A& a, Hello& x) {
   a(x.magic, x.version, x.proxy, x.incarnation, x.attempt, x.locality, x.expected_rate, x.only_static_tables,
-    x.held_epoch, x.held_sequence);
+    x.applied_epoch, x.applied_sequence);
 }
 template <class A>
 void fields(A& a, Welcome& x) {
@@ -73,19 +73,19 @@
 // What the types allow and the protocol does not.
 constexpr double kMaxReportIntervalMs = 3600e3;  // a report on a longer time tells nothing of now
 constexpr std::uint8_t kMaxRetryMode = 3;        // twice
-const char* fault(const Hello& x) {
+const char* validation_error(const Hello& x) {
   if (x.magic != kMagic) return "not this protocol: the magic number differs";
   if (!(x.expected_rate >= 0) || std::isinf(x.expected_rate)) return "a usual rate below 0 or not finite";
   return nullptr;
 }
-const char* fault(const PeerHello& x) {
+const char* validation_error(const PeerHello& x) {
   return x.magic != kMagic ? "not this protocol: the magic number differs" : nullptr;
 }
 bool sane(double x) { return std::isfinite(x) && x >= 0; }
-const char* fault(const Welcome& x) {
+const char* validation_error(const Welcome& x) {
   return sane(x.heartbeat_ms) && sane(x.report_period_ms) ? nullptr : "a time below 0 or not finite";
 }
-const char* fault(const UpdateMessage& x) {
+const char* validation_error(const UpdateMessage& x) {
   if (!std::isfinite(x.decided_at_ms) || !sane(x.lines)) return "a time or count that is not finite";
   for (const Update& update : x.updates) {
     if (auto* weight = std::get_if<WeightUpdate>(&update); weight && !sane(weight->weight))
@@ -97,7 +97,7 @@
   }
   return nullptr;
 }
-const char* fault(const LoadReportMessage& x) {
+const char* validation_error(const LoadReportMessage& x) {
   const bool in_range = x.interval_ms >= 0 && x.interval_ms <= kMaxReportIntervalMs;  // false for NaN
   if (!in_range) return "a span below 0 or over an hour";
   for (const EndpointReportEntry& entry : x.endpoints) {
@@ -108,11 +108,11 @@
   }
   return nullptr;
 }
-const char* fault(const PeerNote& x) {
+const char* validation_error(const PeerNote& x) {
   return x.payload.size() > kMaxPeerNoteBytes ? "a note over 256 bytes" : nullptr;
 }
 template <typename T>
-const char* fault(const T&) {
+const char* validation_error(const T&) {
   return nullptr;
 }
 
@@ -133,34 +133,34 @@
 
 }  // namespace
 
-const char* kind_name(const Frame& frame) {
+const char* frame_kind_name(const Frame& frame) {
   constexpr const char* kNames[] = {"hello",  "welcome", "refuse", "orders",     "applied",
                                     "report", "ping",    "pong",   "peer_hello", "peer_note"};
   static_assert(std::size(kNames) == std::variant_size_v<Frame>);
   return kNames[frame.index()];
 }
 
-const char* fault(const Refuse& x) {
+const char* validation_error(const Refuse& x) {
   return sane(x.retry_after_ms) ? nullptr : "a time below 0 or not finite";
 }
 
-std::string framed(std::size_t kind, const std::string& payload) {
+std::string encode_frame(std::size_t kind, const std::string& payload) {
   base::Encoder head;
   head(static_cast<std::uint32_t>(payload.size()), static_cast<std::uint8_t>(kind));
   return head.take() + payload;
 }
 
-void Framing::push(std::string_view bytes) {
+void FrameSplitter::append(std::string_view bytes) {
   held_.erase(0, at_);
   before_ += std::exchange(at_, 0);
   held_ += bytes;
 }
 
-std::optional<Framing::Piece> Framing::look() const {
+std::optional<FrameSplitter::RawFrame> FrameSplitter::peek() const {
   std::string_view left = std::string_view(held_).substr(at_);
-  if (left.size() < kHeaderBytes) return std::nullopt;
+  if (left.size() < kFrameHeaderBytes) return std::nullopt;
   std::uint64_t offset = before_ + at_;
-  base::Decoder head(left.substr(0, kHeaderBytes));
+  base::Decoder head(left.substr(0, kFrameHeaderBytes));
   std::uint32_t size = 0;
   std::uint8_t kind = 0;
   head(size, kind);
@@ -171,25 +171,26 @@
   if (kind == 0 || kind > kinds_)
     throw ProtocolError(RefuseCode::bad_frame, offset,
                         "a frame of kind " + std::to_string(kind) + ", which is unknown");
-  if (left.size() - kHeaderBytes < size) return std::nullopt;
-  return Piece{kind, left.substr(kHeaderBytes, size), offset + kHeaderBytes};
+  if (left.size() - kFrameHeaderBytes < size) return std::nullopt;
+  return RawFrame{kind, left.substr(kFrameHeaderBytes, size), offset + kFrameHeaderBytes};
 }
 
 std::string encode(const Frame& frame) {
   base::Encoder payload;
   std::visit([&](const auto& f) { payload(f); }, frame);
-  return framed(frame.index() + 1, payload.bytes());
+  return encode_frame(frame.index() + 1, payload.bytes());
 }
 
 std::optional<Frame> FrameParser::next() {
-  auto piece = framing_.look();
+  auto piece = framing_.peek();
   if (!piece) return std::nullopt;
   base::Decoder payload(piece->payload);
   try {
     if (is_opening(piece->kind - 1)) check_version(payload, piece->offset);
-    auto frame = decode_kind<Frame>(piece->kind, payload);
-    if (const char* reason = std::visit([](const auto& f) { return fault(f); }, frame)) payload.fail(reason);
-    framing_.take(*piece);
+    auto frame = decode_payload<Frame>(piece->kind, payload);
+    if (const char* reason = std::visit([](const auto& f) { return validation_error(f); }, frame))
+      payload.fail(reason);
+    framing_.consume(*piece);
     return frame;
   } catch (const base::DecodeError& error) {
     throw ProtocolError(RefuseCode::bad_frame, piece->offset + error.offset, error.what());
@@ -197,7 +198,7 @@
 }
 
 void FrameParser::feed(std::string_view bytes, std::vector<Frame>& out) {
-  push(bytes);
+  append(bytes);
   while (std::optional<Frame> frame = next()) out.push_back(std::move(*frame));
 }
 
--- a/src/native_protocol/frames.h
+++ b/src/native_protocol/frames.h
@@ -23,11 +23,11 @@
 // AdmissionLimitUpdate::table: the limit is for all tables of the stream's proxy.
 constexpr std::uint32_t kAllTables = 0xffffffff;
 // Heartbeat periods without a byte after which a side takes the stream for dead: one lost ping is no reason.
-constexpr double kHeartbeatsUntilDead = 3;
+constexpr double kHeartbeatTimeoutPeriods = 3;
 constexpr std::size_t kMaxPeerNoteBytes = 256;  // a note is gossip between controllers, not a transfer
-constexpr std::size_t kHeaderBytes = 5;         // length of what follows (4), kind (1)
+constexpr std::size_t kFrameHeaderBytes = 5;    // length of what follows (4), kind (1)
 // Of a payload, unless the receiver's settings say less: no peer may make the receiver buffer more.
-constexpr std::size_t kMaxFrameBytes = std::size_t{4} * 1048576;
+constexpr std::size_t kMaxPayloadBytes = std::size_t{4} * 1048576;
 
 // ---- Handshake ----
 // Proxy to assigner, the first frame of a stream.
@@ -35,13 +35,13 @@
   std::uint32_t magic = kMagic;
   std::uint16_t version = kVersion;
   std::uint32_t proxy = 0;
-  std::uint64_t incarnation = 0;    // drawn anew at each start of the proxy
-  std::uint32_t attempt = 0;        // streams dialled since that start: a later one replaces an earlier
-  std::string locality;             // must be the one that the assigner's settings give the peer's address
-  double expected_rate = 0;         // requests a second; 0: unknown
-  bool only_static_tables = false;  // it holds no table that an assigner assigned
-  std::uint64_t held_epoch = 0;     // epoch of the assigner whose updates it holds; 0: none
-  std::uint64_t held_sequence = 0;  // the last update message of that epoch that it applied
+  std::uint64_t incarnation = 0;       // drawn anew at each start of the proxy
+  std::uint32_t attempt = 0;           // streams dialled since that start: a later one replaces an earlier
+  std::string locality;                // must be the one that the assigner's settings give the peer's address
+  double expected_rate = 0;            // requests a second; 0: unknown
+  bool only_static_tables = false;     // it holds no table that an assigner assigned
+  std::uint64_t applied_epoch = 0;     // epoch of the assigner whose updates it holds; 0: none
+  std::uint64_t applied_sequence = 0;  // the last update message of that epoch that it applied
   bool operator==(const Hello&) const = default;
 };
 // Assigner to proxy, the answer; sent again when a period changes.
@@ -175,7 +175,7 @@
 // The kind byte of a frame is its position here, from 1.
 using Frame = std::variant<Hello, Welcome, Refuse, UpdateMessage, Acknowledgement, LoadReportMessage, Ping,
                            Pong, PeerHello, PeerNote>;
-const char* kind_name(const Frame& frame);  // as the protocol page calls it, for messages to people
+const char* frame_kind_name(const Frame& frame);  // as the protocol page calls it, for messages to people
 
 // A frame that breaks the protocol. The stream that it came on can't be read on.
 class ProtocolError : public std::runtime_error {
@@ -187,23 +187,23 @@
 };
 
 // Length and kind before each payload, whatever the payloads are: the framing that all streams here share.
-std::string framed(std::size_t kind, const std::string& payload);  // kind: from 1
+std::string encode_frame(std::size_t kind, const std::string& payload);  // kind: from 1
 
-class Framing {
+class FrameSplitter {
  public:
-  Framing(std::size_t most_bytes, std::size_t kinds) : most_(most_bytes), kinds_(kinds) {}
-  struct Piece {
+  FrameSplitter(std::size_t most_bytes, std::size_t kinds) : most_(most_bytes), kinds_(kinds) {}
+  struct RawFrame {
     std::size_t kind = 0;  // from 1
     std::string_view payload;
     std::uint64_t offset = 0;  // of the payload in the stream
   };
-  void allow(std::size_t most_bytes) { most_ = most_bytes; }
-  void push(std::string_view bytes);
+  void set_max_payload_bytes(std::size_t most_bytes) { most_ = most_bytes; }
+  void append(std::string_view bytes);
   // The next whole frame, if there is one; take() moves behind it. Throws ProtocolError, before the payload
   // is there, for a frame that is too long or of an unknown kind.
-  std::optional<Piece> look() const;
-  void take(const Piece& piece) { at_ += kHeaderBytes + piece.payload.size(); }
-  std::size_t unfinished() const { return held_.size() - at_; }
+  std::optional<RawFrame> peek() const;
+  void consume(const RawFrame& piece) { at_ += kFrameHeaderBytes + piece.payload.size(); }
+  std::size_t buffered_bytes() const { return held_.size() - at_; }
 
  private:
   std::size_t most_, kinds_;
@@ -216,9 +216,9 @@
 
 // The alternative of a frame variant that a kind byte names, read whole. Throws base::DecodeError.
 template <class Variant, std::size_t K = 0>
-Variant decode_kind(std::size_t kind, base::Decoder& d) {
+Variant decode_payload(std::size_t kind, base::Decoder& d) {
   if constexpr (K < std::variant_size_v<Variant>) {
-    if (kind != K + 1) return decode_kind<Variant, K + 1>(kind, d);
+    if (kind != K + 1) return decode_payload<Variant, K + 1>(kind, d);
     std::variant_alternative_t<K, Variant> frame;
     d(frame);
     d.end();
@@ -241,23 +241,26 @@
 void fields(A& a, Pong& x) {
   a(x.token);
 }
-const char* fault(const Refuse& x);  // what the types allow and the protocol does not; null: nothing
+const char* validation_error(
+    const Refuse& x);  // what the types allow and the protocol does not; null: nothing
 
 // Frames from a byte stream, however it is cut. Once all are taken it holds at most one unfinished frame.
 class FrameParser {
  public:
-  explicit FrameParser(std::size_t most_bytes = kMaxFrameBytes)
+  explicit FrameParser(std::size_t most_bytes = kMaxPayloadBytes)
       : framing_(most_bytes, std::variant_size_v<Frame>) {}
-  void allow(std::size_t most_bytes) { framing_.allow(most_bytes); }  // for the frames yet to be taken
-  void push(std::string_view bytes) { framing_.push(bytes); }
+  void set_max_payload_bytes(std::size_t most_bytes) {
+    framing_.set_max_payload_bytes(most_bytes);
+  }  // for the frames yet to be taken
+  void append(std::string_view bytes) { framing_.append(bytes); }
   // The next whole frame, if there is one. Throws ProtocolError; the stream is then at its end.
   std::optional<Frame> next();
   // Both at once: appends the frames that `bytes` completes.
   void feed(std::string_view bytes, std::vector<Frame>& out);
-  std::size_t unfinished() const { return framing_.unfinished(); }
+  std::size_t buffered_bytes() const { return framing_.buffered_bytes(); }
 
  private:
-  Framing framing_;
+  FrameSplitter framing_;
 };
 
 }  // namespace beamshunt::native_protocol
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -13,8 +13,8 @@
 namespace ip = boost::asio::ip;
 namespace icl = boost::icl;
 
-std::string ip_text(std::uint32_t ip) { return ip::address_v4(ip).to_string(); }
-std::string to_string(Address a) { return ip_text(a.ip) + ":" + std::to_string(a.port); }
+std::string ip_to_string(std::uint32_t ip) { return ip::address_v4(ip).to_string(); }
+std::string to_string(Address a) { return ip_to_string(a.ip) + ":" + std::to_string(a.port); }
 
 std::optional<std::uint32_t> parse_ip(std::string_view text) {
   boost::system::error_code error;
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -16,7 +16,7 @@
   auto operator<=>(const Address&) const = default;
 };
 std::string to_string(Address address);  // "127.0.0.1:80"
-std::string ip_text(std::uint32_t ip);
+std::string ip_to_string(std::uint32_t ip);
 std::optional<std::uint32_t> parse_ip(std::string_view text);
 std::optional<Address> parse_address(std::string_view text);  // "127.0.0.1:80", nothing else
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-const char* reason_name(CloseReason reason) {
+const char* close_reason_name(CloseReason reason) {
   constexpr const char* kNames[] = {
       "by_us", "ended", "reset", "refused", "timed_out", "peer_does_not_read", "untrusted", "failed"};
   return kNames[static_cast<std::size_t>(reason)];
@@ -61,7 +61,7 @@
 
 Connection::Connection(Reactor& reactor, Fd fd, Address peer, ConnectionOptions options, bool dialling)
     : reactor_(reactor), fd_(std::move(fd)), peer_(peer), options_(std::move(options)), dialling_(dialling) {
-  if (options_.tls) tls_ = std::make_unique<TlsEngine>(options_.tls, options_.tls_name);
+  if (options_.tls) tls_ = std::make_unique<TlsEngine>(options_.tls, options_.tls_peer_name);
 }
 
 Connection::~Connection() { drop(); }
@@ -86,8 +86,8 @@
   return made;
 }
 
-std::shared_ptr<Connection> Connection::accepted(Reactor& reactor, Fd fd, Address peer,
-                                                 ConnectionOptions options) {
+std::shared_ptr<Connection> Connection::from_accepted_socket(Reactor& reactor, Fd fd, Address peer,
+                                                             ConnectionOptions options) {
   set_option(fd.get(), IPPROTO_TCP, TCP_NODELAY, 1);
   return std::shared_ptr<Connection>(new Connection(reactor, std::move(fd), peer, std::move(options), false));
 }
@@ -99,7 +99,7 @@
 
 void Connection::start(Callbacks callbacks) {
   callbacks_ = std::make_shared<Callbacks>(std::move(callbacks));
-  if (!closing_) reactor_.add(fd_.get(), shared_from_this());
+  if (!closing_) reactor_.watch(fd_.get(), shared_from_this());
 }
 
 bool Connection::send(std::shared_ptr<const std::string> bytes) {
@@ -116,7 +116,7 @@
     enqueue(std::make_shared<const std::string>(tls_->take_wire()));
   }
   if (!fd_) return false;
-  if (unsent_ <= options_.most_unsent) return true;
+  if (unsent_ <= options_.max_unsent_bytes) return true;
   fail_later(CloseReason::peer_does_not_read);
   return false;
 }
@@ -128,18 +128,18 @@
   if (!dialling_) write_some();
 }
 
-void Connection::end() {
+void Connection::shutdown_write() {
   ending_ = true;
   if (!dialling_) write_some();
 }
 
-void Connection::close_after_sending() {
+void Connection::close_after_flush() {
   if (!fd_ || closing_) return;
   callbacks_.reset();
-  end();
+  shutdown_write();
   if (!fd_) return;
   if (shut_ && peer_ended_) return drop();
-  reactor_.at(reactor_.now() + kSendOutMost, [self = shared_from_this()] { self->drop(); });
+  reactor_.call_at(reactor_.now() + kSendOutMost, [self = shared_from_this()] { self->drop(); });
 }
 
 void Connection::close() { drop(); }
@@ -154,7 +154,7 @@
 
 void Connection::drop() {
   if (!fd_) return;
-  reactor_.remove(fd_.get());
+  reactor_.unwatch(fd_.get());
   fd_.reset();
   queue_.clear();
   unsent_ = 0;
@@ -166,20 +166,20 @@
   auto hold = callbacks_;
   drop();
   closing_ = false;
-  if (live && hold && hold->closed) hold->closed(reason);
+  if (live && hold && hold->on_closed) hold->on_closed(reason);
 }
 
-void Connection::read_now() {
+void Connection::read_available() {
   if (!dialling_) read_some();
 }
 
-void Connection::pause(bool paused) {
+void Connection::set_reading_paused(bool paused) {
   bool resumed = paused_ && !paused;
   paused_ = paused;
   if (resumed && fd_) reactor_.defer([self = shared_from_this()] { self->read_some(); });
 }
 
-void Connection::ready(std::uint32_t events) {
+void Connection::on_ready(std::uint32_t events) {
   if (!fd_ || closing_) return;
   if (dialling_) {
     if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP))) return;
@@ -191,8 +191,8 @@
     if (tls_) {  // `connected` is told once the peer is trusted
       tls_->begin();
       enqueue(std::make_shared<const std::string>(tls_->take_wire()));
-    } else if (auto hold = callbacks_; hold && hold->connected) {
-      hold->connected();
+    } else if (auto hold = callbacks_; hold && hold->on_connected) {
+      hold->on_connected();
     }
     if (!fd_) return;
   }
@@ -213,10 +213,11 @@
     }
     enqueue(std::make_shared<const std::string>(tls_->take_wire()));
     if (fresh && tls_->established())
-      if (auto hold = callbacks_; hold && hold->connected) hold->connected();
+      if (auto hold = callbacks_; hold && hold->on_connected) hold->on_connected();
     bytes = plain;
   }
-  if (auto hold = callbacks_; fd_ && !closing_ && !bytes.empty() && hold && hold->bytes) hold->bytes(bytes);
+  if (auto hold = callbacks_; fd_ && !closing_ && !bytes.empty() && hold && hold->on_data)
+    hold->on_data(bytes);
   return fd_ && !closing_ && !paused_;
 }
 
@@ -224,7 +225,7 @@
   if (!fd_ || closing_ || paused_ || peer_ended_) return;
   char block[kReadBlock];
   std::size_t came = 0;
-  while (came < options_.most_a_turn) {
+  while (came < options_.max_read_bytes_per_iteration) {
     ssize_t n = ::read(fd_.get(), block, sizeof block);
     if (n > 0) {
       came += static_cast<std::size_t>(n);
@@ -235,9 +236,9 @@
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
     if (n < 0) return finish(reason_of(errno));
     peer_ended_ = true;
-    if (ending_ && shut_) return finish(CloseReason::ended);
-    if (auto hold = callbacks_; hold && hold->peer_ended) return hold->peer_ended();
-    return finish(CloseReason::ended);
+    if (ending_ && shut_) return finish(CloseReason::end_of_stream);
+    if (auto hold = callbacks_; hold && hold->on_peer_shutdown) return hold->on_peer_shutdown();
+    return finish(CloseReason::end_of_stream);
   }
   if (std::exchange(more_to_read_, true)) return;
   reactor_.defer([self = shared_from_this()] {  // no edge will tell of what is left
@@ -270,23 +271,23 @@
   if (!fd_ || !ending_ || shut_) return;
   shut_ = true;
   ::shutdown(fd_.get(), SHUT_WR);
-  if (peer_ended_) fail_later(CloseReason::ended);
+  if (peer_ended_) fail_later(CloseReason::end_of_stream);
 }
 
 // ---- Listener ----
 
-struct Listener::Acceptor final : Handler, std::enable_shared_from_this<Acceptor> {
-  Acceptor(Reactor& r, Accept a, ConnectionOptions l)
+struct Listener::Acceptor final : EventHandler, std::enable_shared_from_this<Acceptor> {
+  Acceptor(Reactor& r, AcceptCallback a, ConnectionOptions l)
       : reactor(r), accept(std::move(a)), options(std::move(l)) {}
 
-  void ready(std::uint32_t) override {
+  void on_ready(std::uint32_t) override {
     while (listening) {
       sockaddr_in peer{};
       socklen_t size = sizeof peer;
       Fd fd(::accept4(listening.get(), reinterpret_cast<sockaddr*>(&peer), &size,
                       SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (fd) {
-        accept(Connection::accepted(reactor, std::move(fd), from_sockaddr(peer), options));
+        accept(Connection::from_accepted_socket(reactor, std::move(fd), from_sockaddr(peer), options));
         continue;
       }
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
@@ -302,19 +303,19 @@
         continue;
       }
       // Some other shortage. No edge comes for who waits already, so a timer looks again.
-      reactor.at(reactor.now() + kAcceptPause, [self = shared_from_this()] { self->ready(0); });
+      reactor.call_at(reactor.now() + kAcceptPause, [self = shared_from_this()] { self->on_ready(0); });
       return;
     }
   }
 
   Reactor& reactor;
-  Accept accept;
+  AcceptCallback accept;
   ConnectionOptions options;
   Fd listening, reserve{::open("/dev/null", O_RDONLY | O_CLOEXEC)};
   std::size_t turned_away = 0;
 };
 
-Listener::Listener(Reactor& reactor, Address at, Accept accept, ConnectionOptions options)
+Listener::Listener(Reactor& reactor, Address at, AcceptCallback accept, ConnectionOptions options)
     : reactor_(reactor), acceptor_(std::make_shared<Acceptor>(reactor, std::move(accept), options)) {
   acceptor_->listening.reset(stream_socket());
   int fd = acceptor_->listening.get();
@@ -328,14 +329,14 @@
   socklen_t size = sizeof name;
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&name), &size);
   address_ = from_sockaddr(name);
-  reactor_.add(fd, acceptor_);
+  reactor_.watch(fd, acceptor_);
 }
 
 Listener::~Listener() {
-  reactor_.remove(acceptor_->listening.get());
+  reactor_.unwatch(acceptor_->listening.get());
   acceptor_->listening.reset();
 }
 
-std::size_t Listener::turned_away() const { return acceptor_->turned_away; }
+std::size_t Listener::rejected_connections() const { return acceptor_->turned_away; }
 
 }  // namespace beamshunt::net
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -15,31 +15,41 @@
 namespace beamshunt::net {
 
 struct ConnectionOptions {
-  std::size_t most_unsent = std::size_t{8} * 1048576;  // bytes; more is the peer's fault, who does not read
-  std::size_t most_a_turn =
+  std::size_t max_unsent_bytes =
+      std::size_t{8} * 1048576;  // bytes; more is the peer's fault, who does not read
+  std::size_t max_read_bytes_per_iteration =
       std::size_t{256} * 1024;              // bytes read in one turn of the loop: others get theirs, too
   std::shared_ptr<const TlsContext> tls{};  // speaks TLS if there is one
-  std::string tls_name{};                   // that a dialled peer's certificate must have
+  std::string tls_peer_name{};              // that a dialled peer's certificate must have
 };
 
 // Why a connection ended, as far as this side can tell.
-enum class CloseReason { by_us, ended, reset, refused, timed_out, peer_does_not_read, untrusted, failed };
-const char* reason_name(CloseReason reason);
+enum class CloseReason {
+  closed_locally,
+  end_of_stream,
+  reset,
+  refused,
+  timed_out,
+  peer_does_not_read,
+  untrusted,
+  failed
+};
+const char* close_reason_name(CloseReason reason);
 
-class Connection final : public Handler, public std::enable_shared_from_this<Connection> {
+class Connection final : public EventHandler, public std::enable_shared_from_this<Connection> {
  public:
   struct Callbacks {
-    std::function<void()> connected;              // of a dialled connection
-    std::function<void(std::string_view)> bytes;  // what came, in order
-    std::function<void()> peer_ended;             // the peer sends no more; it may still read
-    std::function<void(CloseReason)> closed;      // once, last; not after close()
+    std::function<void()> on_connected;             // of a dialled connection
+    std::function<void(std::string_view)> on_data;  // what came, in order
+    std::function<void()> on_peer_shutdown;         // the peer sends no more; it may still read
+    std::function<void(CloseReason)> on_closed;     // once, last; not after close()
   };
 
   // Dials `to`, from `from` if its ip is given. Never blocks; failure comes by `closed`.
   static std::shared_ptr<Connection> dial(Reactor& reactor, Address to, Address from,
                                           ConnectionOptions options = {});
-  static std::shared_ptr<Connection> accepted(Reactor& reactor, Fd fd, Address peer,
-                                              ConnectionOptions options = {});
+  static std::shared_ptr<Connection> from_accepted_socket(Reactor& reactor, Fd fd, Address peer,
+                                                          ConnectionOptions options = {});
   ~Connection() override;
 
   // Call once, before the loop turns. Until then nothing is reported.
@@ -48,17 +58,18 @@
   // connection is closing and `closed` follows.
   bool send(std::shared_ptr<const std::string> bytes);
   bool send(std::string bytes) { return send(std::make_shared<const std::string>(std::move(bytes))); }
-  void end();                  // sends what is queued, then no more; the peer may go on
-  void close_after_sending();  // closes once what is queued is out, or after the time a peer may take
-  void close();                // at once; no callback follows
-  void reset();                // at once, and the peer is told by a reset
-  void read_now();             // what has come already, without waiting to be told of it
-  void pause(bool paused);     // while paused nothing is read: the kernel's buffers fill, then the peer waits
-  bool open() const { return static_cast<bool>(fd_); }
-  std::size_t unsent() const { return unsent_; }
+  void shutdown_write();     // sends what is queued, then no more; the peer may go on
+  void close_after_flush();  // closes once what is queued is out, or after the time a peer may take
+  void close();              // at once; no callback follows
+  void reset();              // at once, and the peer is told by a reset
+  void read_available();     // what has come already, without waiting to be told of it
+  void set_reading_paused(
+      bool paused);  // while paused nothing is read: the kernel's buffers fill, then the peer waits
+  bool is_open() const { return static_cast<bool>(fd_); }
+  std::size_t unsent_bytes() const { return unsent_; }
   Address peer() const { return peer_; }
 
-  void ready(std::uint32_t events) override;
+  void on_ready(std::uint32_t events) override;
 
  private:
   Connection(Reactor& reactor, Fd fd, Address peer, ConnectionOptions options, bool dialling);
@@ -86,12 +97,12 @@
 // with a descriptor kept in reserve, rather than letting them wait unheard.
 class Listener final {
  public:
-  using Accept = std::function<void(std::shared_ptr<Connection>)>;
+  using AcceptCallback = std::function<void(std::shared_ptr<Connection>)>;
   // Throws std::system_error. A port of 0 takes any; address() tells which.
-  Listener(Reactor& reactor, Address at, Accept accept, ConnectionOptions options = {});
+  Listener(Reactor& reactor, Address at, AcceptCallback accept, ConnectionOptions options = {});
   ~Listener();
   Address address() const { return address_; }
-  std::size_t turned_away() const;
+  std::size_t rejected_connections() const;
 
  private:
   struct Acceptor;
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -16,11 +16,11 @@
 
 [[noreturn]] void fail(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
 
-class Draining final : public Handler {  // reads a descriptor empty and calls for each thing read
+class Draining final : public EventHandler {  // reads a descriptor empty and calls for each thing read
  public:
   template <typename F>
   Draining(int fd, std::size_t size, F call) : fd_(fd), size_(size), call_(std::move(call)) {}
-  void ready(std::uint32_t) override {
+  void on_ready(std::uint32_t) override {
     char block[128];
     while (::read(fd_, block, size_) == static_cast<ssize_t>(size_)) call_(block);
   }
@@ -40,10 +40,10 @@
 
 Reactor::Reactor() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   if (!epoll_ || !wake_) fail("cannot make an event loop");
-  add(wake_.get(), std::make_shared<Draining>(wake_.get(), sizeof(std::uint64_t), [](const char*) {}));
+  watch(wake_.get(), std::make_shared<Draining>(wake_.get(), sizeof(std::uint64_t), [](const char*) {}));
 }
 
-void Reactor::add(int fd, std::shared_ptr<Handler> handler) {
+void Reactor::watch(int fd, std::shared_ptr<EventHandler> handler) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = std::uint64_t{++generation_} << 32 | static_cast<std::uint32_t>(fd);
@@ -51,7 +51,7 @@
   handlers_[fd] = {std::move(handler), generation_};
 }
 
-void Reactor::remove(int fd) {
+void Reactor::unwatch(int fd) {
   auto watched = handlers_.extract(fd);  // the handler may end here, and its end may call remove() again
   if (!watched.empty()) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
 }
@@ -63,16 +63,16 @@
   auto handlers = std::exchange(handlers_, {});
 }
 
-Reactor::TimerId Reactor::at(Ms when, Call call) {
+Reactor::TimerId Reactor::call_at(Ms when, Callback call) {
   TimerId id{when, next_timer_++};
   timers_.emplace(id, std::move(call));
   return id;
 }
 
-void Reactor::cancel(TimerId timer) { timers_.erase(timer); }
-void Reactor::defer(Call call) { deferred_.push_back(std::move(call)); }
+void Reactor::cancel_timer(TimerId timer) { timers_.erase(timer); }
+void Reactor::defer(Callback call) { deferred_.push_back(std::move(call)); }
 
-void Reactor::post(Call call) {
+void Reactor::post(Callback call) {
   {
     std::lock_guard lock(posted_mutex_);
     posted_.push_back(std::move(call));
@@ -81,7 +81,7 @@
   [[maybe_unused]] ssize_t n = ::write(wake_.get(), &one, sizeof one);  // full counter: awake already
 }
 
-void Reactor::on_signal(int number, Call call) {
+void Reactor::on_signal(int number, Callback call) {
   signal_calls_[number] = std::move(call);
   sigset_t set;
   sigemptyset(&set);
@@ -92,11 +92,11 @@
   if (fd < 0) fail("cannot receive signals");
   if (!fresh) return;
   signals_.reset(fd);
-  add(fd, std::make_shared<Draining>(fd, sizeof(signalfd_siginfo), [this](const char* block) {
-        auto number_of = reinterpret_cast<const signalfd_siginfo*>(block)->ssi_signo;
-        if (auto found = signal_calls_.find(static_cast<int>(number_of)); found != signal_calls_.end())
-          found->second();
-      }));
+  watch(fd, std::make_shared<Draining>(fd, sizeof(signalfd_siginfo), [this](const char* block) {
+          auto number_of = reinterpret_cast<const signalfd_siginfo*>(block)->ssi_signo;
+          if (auto found = signal_calls_.find(static_cast<int>(number_of)); found != signal_calls_.end())
+            found->second();
+        }));
 }
 
 void Reactor::block_signals(std::initializer_list<int> numbers) {
@@ -115,7 +115,7 @@
   for (auto& call : std::exchange(deferred_, {})) call();  // what these defer waits for the next turn
 }
 
-void Reactor::turn() {
+void Reactor::run_iteration() {
   constexpr int kMostEvents = 256;
   epoll_event events[kMostEvents];
   int wait_ms = -1;
@@ -131,8 +131,8 @@
     std::uint64_t tag = events[k].data.u64;
     auto found = handlers_.find(static_cast<int>(tag & 0xffffffff));
     if (found == handlers_.end() || found->second.generation != tag >> 32) continue;  // removed this turn
-    std::shared_ptr<Handler> hold = found->second.handler;
-    hold->ready(events[k].events);
+    std::shared_ptr<EventHandler> hold = found->second.handler;
+    hold->on_ready(events[k].events);
   }
   while (!timers_.empty() && timers_.begin()->first.first <= now_) {
     auto due = timers_.extract(timers_.begin());
@@ -144,7 +144,7 @@
 
 void Reactor::run() {
   running_ = true;
-  while (running_) turn();
+  while (running_) run_iteration();
 }
 
 }  // namespace beamshunt::net
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -35,16 +35,16 @@
   int fd_;
 };
 
-class Handler {
+class EventHandler {
  public:
-  virtual ~Handler() = default;
+  virtual ~EventHandler() = default;
   // EPOLLIN, EPOLLOUT, EPOLLRDHUP, EPOLLHUP, EPOLLERR as they came. Edge-triggered: act until EAGAIN.
-  virtual void ready(std::uint32_t events) = 0;
+  virtual void on_ready(std::uint32_t events) = 0;
 };
 
 class Reactor {
  public:
-  using Call = std::function<void()>;
+  using Callback = std::function<void()>;
   using TimerId = std::pair<Ms, std::uint64_t>;
 
   Reactor();  // throws std::system_error
@@ -53,15 +53,15 @@
   Reactor& operator=(const Reactor&) = delete;
 
   // Watches `fd` for reading and writing until remove(fd); holds the handler for as long.
-  void add(int fd, std::shared_ptr<Handler> handler);
-  void remove(int fd);
+  void watch(int fd, std::shared_ptr<EventHandler> handler);
+  void unwatch(int fd);
 
   // Calls once at `when` on the monotonic clock; in the order of the times, then of the calls.
-  TimerId at(Ms when, Call call);
-  void cancel(TimerId timer);
-  void defer(Call call);  // before the loop sleeps again
-  void post(Call call);   // the same, from any thread
-  void on_signal(int number, Call call);
+  TimerId call_at(Ms when, Callback call);
+  void cancel_timer(TimerId timer);
+  void defer(Callback call);  // before the loop sleeps again
+  void post(Callback call);   // the same, from any thread
+  void on_signal(int number, Callback call);
   // Before any thread is started: a thread with a signal unblocked would take it the default way.
   static void block_signals(std::initializer_list<int> numbers);
 
@@ -69,25 +69,25 @@
   void run();                      // until stop()
   void stop() { running_ = false; }
   // Longest turn since the last call: how long an event may have waited for the ones before it.
-  Ms take_longest_turn() { return std::exchange(longest_turn_, 0.0); }
+  Ms reset_longest_iteration() { return std::exchange(longest_turn_, 0.0); }
 
  private:
-  void turn();
+  void run_iteration();
   void run_deferred();
 
   Fd epoll_, wake_, signals_;
   struct Watched {
-    std::shared_ptr<Handler> handler;
+    std::shared_ptr<EventHandler> handler;
     std::uint32_t generation = 0;  // an event of a descriptor's former owner is not for the present one
   };
   std::unordered_map<int, Watched> handlers_;
   std::uint32_t generation_ = 0;
-  std::map<TimerId, Call> timers_;
+  std::map<TimerId, Callback> timers_;
   std::uint64_t next_timer_ = 0;
-  std::vector<Call> deferred_;
+  std::vector<Callback> deferred_;
   std::mutex posted_mutex_;
-  std::vector<Call> posted_;
-  std::map<int, Call> signal_calls_;
+  std::vector<Callback> posted_;
+  std::map<int, Callback> signal_calls_;
   Ms now_ = base::monotonic_ms();
   Ms longest_turn_ = 0;
   bool running_ = false;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -46,8 +46,9 @@
       : file_(std::move(file)),
         log_("", log_endpoints ? log::Level::debug : log::Level::info),
         core_(read_configuration(file_), reactor_.now(), base::wall_ms(), log_endpoints),
-        client_(reactor_,
-                {.connect_ms = kConnectTimeout, .most_idle = 0, .limits = {.body = kMaxDiscoveryBytes}}) {
+        client_(reactor_, {.connect_timeout_ms = kConnectTimeout,
+                           .max_idle_connections = 0,
+                           .limits = {.max_body_bytes = kMaxDiscoveryBytes}}) {
     for (int signal : {SIGTERM, SIGINT}) reactor_.on_signal(signal, [this] { reactor_.stop(); });
     reactor_.on_signal(SIGHUP, [this] { reload(); });
     listen(reactor_.now() + kListenTimeout);
@@ -69,7 +70,8 @@
       listener_ = std::make_unique<net::Listener>(
           reactor_, core_.configuration().listen,
           [this](std::shared_ptr<net::Connection> connection) { accept(std::move(connection)); },
-          net::ConnectionOptions{.most_unsent = kMaxUnsentBytes, .most_a_turn = kMaxBytesPerTurn});
+          net::ConnectionOptions{.max_unsent_bytes = kMaxUnsentBytes,
+                                 .max_read_bytes_per_iteration = kMaxBytesPerTurn});
     } catch (const std::system_error& error) {
       if (error.code() != std::errc::address_in_use || reactor_.now() >= deadline) {
         listen_error_ = std::current_exception();
@@ -79,7 +81,7 @@
       if (!std::exchange(logged_address_in_use_, true))
         log_.write(log::Level::warning, "address_in_use",
                    {{"listen", net::to_string(core_.configuration().listen)}});
-      reactor_.at(reactor_.now() + kListenRetryInterval, [this, deadline] { listen(deadline); });
+      reactor_.call_at(reactor_.now() + kListenRetryInterval, [this, deadline] { listen(deadline); });
       return;
     }
     log_.write(log::Level::info, "serving",
@@ -90,17 +92,17 @@
     const ConnectionId id{++last_connection_};
     connections_[id] = connection;
     core_.on_connection_opened(id, reactor_.now());
-    connection->start({.connected = {},
-                       .bytes =
+    connection->start({.on_connected = {},
+                       .on_data =
                            [this, id](std::string_view bytes) {
                              core_.on_bytes(id, bytes, reactor_.now());
                              schedule_run();
                            },
-                       .peer_ended = {},
-                       .closed =
+                       .on_peer_shutdown = {},
+                       .on_closed =
                            [this, id](net::CloseReason reason) {
                              connections_.erase(id);
-                             core_.on_connection_closed(id, net::reason_name(reason));
+                             core_.on_connection_closed(id, net::close_reason_name(reason));
                              schedule_run();
                            }});
     make_room();
@@ -114,7 +116,7 @@
     while (auto candidate = core_.eviction_candidate()) {
       if (auto found = connections_.find(*candidate); found != connections_.end()) {
         auto connection = found->second;  // reading may close it and drop the table's reference
-        connection->read_now();
+        connection->read_available();
       }
       core_.evict(*candidate);
       execute_effects();
@@ -132,8 +134,8 @@
     run_scheduled_ = false;
     core_.run_once(reactor_.now());
     execute_effects();
-    if (timer_) reactor_.cancel(*timer_);
-    timer_ = reactor_.at(core_.next_due(), [this] {
+    if (timer_) reactor_.cancel_timer(*timer_);
+    timer_ = reactor_.call_at(core_.next_due(), [this] {
       timer_.reset();
       schedule_run();
     });
@@ -162,19 +164,20 @@
       return;
     }
     lingering_.push_back(connection.mapped());
-    connection.mapped()->close_after_sending();
+    connection.mapped()->close_after_flush();
   }
 
   void execute(const OpenWatch& effect) {
     const ListWatch::Id watch = effect.watch;
-    auto request = http::request("GET", "/api/targets?watch=1&from=" + std::to_string(effect.from_version));
-    watches_[watch] = client_.listen(
+    auto request =
+        http::make_request("GET", "/api/targets?watch=1&from=" + std::to_string(effect.from_version));
+    watches_[watch] = client_.stream_response(
         effect.discovery, request, kDiscoveryIdleTimeout,
         [this, watch](std::string_view bytes) {
           core_.on_watch_bytes(watch, bytes, reactor_.now(), base::wall_ms());
           schedule_run();
         },
-        [this, watch](http::Client::Answer&& answer) {
+        [this, watch](http::Client::Result&& answer) {
           watches_.erase(watch);
           core_.on_watch_ended(watch, failure_text(answer), reactor_.now());
           schedule_run();
@@ -187,18 +190,19 @@
   }
 
   void execute(const FetchEndpointList& effect) {
-    client_.ask(effect.discovery, http::request("GET", "/api/targets"), kDiscoveryIdleTimeout,
-                [this](http::Client::Answer&& answer) {
-                  if (answer.failure == http::Client::Failure::none && answer.message.status == kHttpOk)
-                    core_.on_fetched(answer.message.body, reactor_.now(), base::wall_ms());
-                  else core_.on_fetch_failed(failure_text(answer));
-                  schedule_run();
-                });
+    client_.send_request(
+        effect.discovery, http::make_request("GET", "/api/targets"), kDiscoveryIdleTimeout,
+        [this](http::Client::Result&& answer) {
+          if (answer.failure == http::Client::Failure::none && answer.response.status == kHttpOk)
+            core_.on_fetched(answer.response.body, reactor_.now(), base::wall_ms());
+          else core_.on_fetch_failed(failure_text(answer));
+          schedule_run();
+        });
   }
 
-  static std::string failure_text(const http::Client::Answer& answer) {
+  static std::string failure_text(const http::Client::Result& answer) {
     if (answer.failure != http::Client::Failure::none) return answer.detail;
-    return "it ended with status " + std::to_string(answer.message.status);
+    return "it ended with status " + std::to_string(answer.response.status);
   }
 
   void execute(const StartHealthCheck& effect) {
@@ -217,15 +221,15 @@
 
   void start_health_check(const StartHealthCheck& check) {
     const Ms started = reactor_.now();
-    auto request = http::request("GET", check.wants_load_report ? "/-/load" : "/-/healthy");
-    client_.ask(check.address, request, kHealthCheckTimeout,
-                [this, started, check](http::Client::Answer&& answer) {
-                  --running_health_checks_;
-                  core_.on_health_check_result(check.endpoint, check.id, health_check::outcome_of(answer),
-                                               reactor_.now() - started, answer.message.body);
-                  start_health_checks();
-                  schedule_run();
-                });
+    auto request = http::make_request("GET", check.wants_load_report ? "/-/load" : "/-/healthy");
+    client_.send_request(
+        check.address, request, kHealthCheckTimeout, [this, started, check](http::Client::Result&& answer) {
+          --running_health_checks_;
+          core_.on_health_check_result(check.endpoint, check.id, health_check::outcome_of(answer),
+                                       reactor_.now() - started, answer.response.body);
+          start_health_checks();
+          schedule_run();
+        });
   }
 
   void execute(const LogLine& effect) { log_.write(effect.level, effect.event, effect.fields); }
@@ -250,7 +254,7 @@
   std::exception_ptr listen_error_;  // that ended the start
   std::unordered_map<ConnectionId, std::shared_ptr<net::Connection>> connections_;
   std::deque<std::weak_ptr<net::Connection>> lingering_;
-  std::map<ListWatch::Id, http::Client::Call> watches_;
+  std::map<ListWatch::Id, http::Client::CallId> watches_;
   std::deque<StartHealthCheck> waiting_health_checks_;
   std::size_t running_health_checks_ = 0;
   std::uint64_t last_connection_ = 0;
--- a/src/standin/control.cpp
+++ b/src/standin/control.cpp
@@ -57,7 +57,7 @@
 void ControlService::beat() {
   for (auto& [id, peer] : peers_)
     if (peer.subscribed) peer.connection->send(config_stream::encode(Ping{1}));
-  world_.reactor.at(world_.now() + kBeat, [this, alive = alive_] {
+  world_.reactor.call_at(world_.now() + kBeat, [this, alive = alive_] {
     if (*alive) beat();
   });
 }
@@ -141,7 +141,7 @@
   if (d.part + 1 == d.parts) peer.sent[d.nonce] = world_.now();
   if (cut_after_ > 0) {
     peer.connection->send(bytes.substr(0, std::min(bytes.size(), std::exchange(cut_after_, 0))));
-    peer.connection->close_after_sending();
+    peer.connection->close_after_flush();
     peer.subscribed = false;
     world_.reactor.defer([this, alive = alive_, connection = peer.connection] {
       if (*alive) std::erase_if(peers_, [&](auto& p) { return p.second.connection == connection; });
@@ -236,7 +236,7 @@
 }
 
 void ControlService::endless_part(std::uint64_t id, Delivery d) {
-  world_.reactor.at(world_.now() + kEndlessEvery, [this, alive = alive_, id, d]() mutable {
+  world_.reactor.call_at(world_.now() + kEndlessEvery, [this, alive = alive_, id, d]() mutable {
     if (!*alive) return;
     auto peer = peers_.find(id);
     if (peer == peers_.end()) return;
--- a/src/standin/list.cpp
+++ b/src/standin/list.cpp
@@ -43,22 +43,22 @@
 }
 
 void ListService::beat() {
-  std::erase_if(watches_, [](const Watch& w) { return !w.responder.stream("\n"); });
-  world_.reactor.at(world_.now() + kBeat, [this] { beat(); });
+  std::erase_if(watches_, [](const Watch& w) { return !w.responder.send_chunk("\n"); });
+  world_.reactor.call_at(world_.now() + kBeat, [this] { beat(); });
 }
 
 void ListService::fail(bool down) {
   if (down == (http_ == nullptr)) return;
   watches_.clear();
   if (!down) return open();
-  http_->reset_all();
+  http_->reset_connections();
   http_.reset();
 }
 
 void ListService::change(const Listing& listing, Ms delay) {
   Ms& shown_at = shown_at_[listing.id];  // a server's changes come in the order they were made
   shown_at = std::max(shown_at, world_.now() + delay + stale_);
-  world_.reactor.at(shown_at, [this, listing] { show(listing); });
+  world_.reactor.call_at(shown_at, [this, listing] { show(listing); });
 }
 
 void ListService::show(const Listing& listing) {
@@ -66,7 +66,7 @@
   ++version_;
   std::string change = line(false, {listing});
   std::erase_if(watches_, [&](const Watch& w) {
-    if (!w.responder.stream(change)) return true;
+    if (!w.responder.send_chunk(change)) return true;
     tell(w.instance, {listing});
     return false;
   });
@@ -91,12 +91,12 @@
         base::parse_number<std::uint32_t>(std::string_view(message.target).substr(mark + 10)).value_or(0);
   std::string path = message.target.substr(0, mark);
   if (path == "/v1/list") {
-    responder.send(http::response(200, line(true, all())));
+    responder.send(http::make_response(200, line(true, all())));
     return tell(instance, all());
   }
   if (path != "/v1/watch")
-    return responder.send(http::response(404, "/v1/list or /v1/watch\n", "text/plain"));
-  if (!responder.begin_stream(200, "application/json") || !responder.stream(line(true, all()))) return;
+    return responder.send(http::make_response(404, "/v1/list or /v1/watch\n", "text/plain"));
+  if (!responder.begin_stream(200, "application/json") || !responder.send_chunk(line(true, all()))) return;
   tell(instance, all());
   watches_.push_back({instance, responder});
 }
--- a/src/standin/proxy.cpp
+++ b/src/standin/proxy.cpp
@@ -24,9 +24,9 @@
       model_(std::move(spec)),
       options_(std::move(options)),
       incarnation_(incarnation),
-      upstream_(
-          world.reactor,
-          {.from = {options_.front.ip, 0}, .idle_ms = options_.connection_idle, .connect_ms = kConnectMost}) {
+      upstream_(world.reactor, {.source = {options_.front.ip, 0},
+                                .idle_timeout_ms = options_.connection_idle,
+                                .connect_timeout_ms = kConnectMost}) {
   http_ = std::make_unique<http::Server>(
       world_.reactor, options_.front,
       [this](http::Message&& m, http::Responder r) { handle(std::move(m), std::move(r)); },
@@ -51,10 +51,10 @@
 void Proxy::handle(http::Message&& message, http::Responder responder) {
   auto ask = to_ask(message);
   if (!ask || ask->request_class >= options_.slo.size())
-    return responder.send(http::response(400, "a header is missing or odd\n", "text/plain"));
+    return responder.send(http::make_response(400, "a header is missing or odd\n", "text/plain"));
   model_.came(ask->request_class);
   if (!model_.admit(world_.now(), ask->request_class)) {
-    http::Message no = http::response(503, {});
+    http::Message no = http::make_response(503, {});
     no.headers.emplace_back("x-refused", "1");
     return responder.send(no);
   }
@@ -81,36 +81,36 @@
   model_.sent(place->endpoint);
   world_.note(
       TrySent{model_.spec().id, place->endpoint, ask.request, ask.number, ask.request_class, ask.work_ms});
-  upstream_.ask(place->address, to_message(ask), wait,
-                [this, alive = alive_, r, place = *place, now](http::Client::Answer&& answer) {
-                  if (*alive) tried(r, place, now, std::move(answer));
-                });
+  upstream_.send_request(place->address, to_message(ask), wait,
+                         [this, alive = alive_, r, place = *place, now](http::Client::Result&& answer) {
+                           if (*alive) tried(r, place, now, std::move(answer));
+                         });
 }
 
-void Proxy::tried(std::shared_ptr<Request> r, const Place& place, Ms sent, http::Client::Answer&& answer) {
+void Proxy::tried(std::shared_ptr<Request> r, const Place& place, Ms sent, http::Client::Result&& answer) {
   Ms now = world_.now();
   bool answered = answer.failure == http::Client::Failure::none;
-  bool good = answered && answer.message.status == 200;
-  model_.ended(
-      now, place.endpoint, good, now - sent,
-      answered ? http::parse_numbers(answer.message.header("x-load")) : std::map<std::string, double>{});
+  bool good = answered && answer.response.status == 200;
+  model_.ended(now, place.endpoint, good, now - sent,
+               answered ? http::parse_named_numbers(answer.response.header("x-load"))
+                        : std::map<std::string, double>{});
   if (good) {
     std::size_t c = r->ask.request_class;
     if (now - r->arrived <= options_.slo[c]) model_.in_time(c);
-    if (r->responder.alive()) r->responder.send(http::response(200, {}));
+    if (r->responder.is_connected()) r->responder.send(http::make_response(200, {}));
     return;
   }
-  if (!r->responder.alive()) {  // the client has gone; who else would want the answer
+  if (!r->responder.is_connected()) {  // the client has gone; who else would want the answer
     model_.unanswered(r->ask.request_class);
     return;
   }
-  bool proof = (answered && answer.message.status == 503) || !answer.sent;
+  bool proof = (answered && answer.response.status == 503) || !answer.request_sent;
   try_next(std::move(r), proof);
 }
 
 void Proxy::finish(const std::shared_ptr<Request>& r, int status, const char* why) {
   model_.unanswered(r->ask.request_class);
-  r->responder.send(http::response(status, std::string(why) + "\n", "text/plain"));
+  r->responder.send(http::make_response(status, std::string(why) + "\n", "text/plain"));
 }
 
 // ---- The stream ----
@@ -125,7 +125,7 @@
   std::uint64_t number = ++stream_number_;
   auto current = [this, alive = alive_, number] { return *alive && number == stream_number_; };
   if (way().cut) {  // nothing answers
-    world_.reactor.at(world_.now() + kConnectMost, [this, current] {
+    world_.reactor.call_at(world_.now() + kConnectMost, [this, current] {
       if (current()) redial();
     });
     return;
@@ -145,15 +145,15 @@
                                                 .locality = model_.spec().locality_name,
                                                 .expected_rate = options_.usual_rate,
                                                 .only_static_tables = model_.only_standing(),
-                                                .held_epoch = epoch_,
-                                                .held_sequence = applied_});
+                                                .applied_epoch = epoch_,
+                                                .applied_sequence = applied_});
                   },
                   [this, current](std::string_view bytes) {
                     if (!current()) return;
                     Ms delay = way().delay;
                     if (delay <= 0 && deliver_after_ <= world_.now()) return came(bytes);
                     deliver_after_ = std::max(deliver_after_, world_.now() + delay);
-                    world_.reactor.at(deliver_after_, [this, current, held = std::string(bytes)] {
+                    world_.reactor.call_at(deliver_after_, [this, current, held = std::string(bytes)] {
                       if (current()) came(held);
                     });
                   },
@@ -178,7 +178,7 @@
   if (failures_ >= kFailuresToMove) choice_ = (choice_ + 1) % options_.assigners.size(), failures_ = 0;
   Ms wait = options_.redial * (0.75 + 0.5 * static_cast<double>(model_.spec().seed * 7919 % 97) / 97);
   std::uint64_t number = stream_number_;
-  world_.reactor.at(world_.now() + wait, [this, alive = alive_, number] {
+  world_.reactor.call_at(world_.now() + wait, [this, alive = alive_, number] {
     if (*alive && number == stream_number_) dial();
   });
 }
@@ -193,7 +193,7 @@
 void Proxy::links_changed() {
   if (!stream_) return;
   bool cut = way().cut;
-  stream_->pause(cut);
+  stream_->set_reading_paused(cut);
   if (cut) return;
   for (std::string& bytes : std::exchange(held_, {})) stream_->send(std::move(bytes));
 }
@@ -222,7 +222,7 @@
     model_.apply(*orders);
     applied_ = orders->sequence;
     world_.note(OrdersCame{model_.spec().id, *orders});
-    for (const Place& p : model_.take_left()) upstream_.drop_idle(p.address);
+    for (const Place& p : model_.take_left()) upstream_.close_idle(p.address);
     send(native_protocol::Acknowledgement{orders->sequence});
   } else if (auto* ping = std::get_if<native_protocol::Ping>(&f)) {
     send(native_protocol::Pong{ping->token});
@@ -237,9 +237,9 @@
 
 void Proxy::beat() {
   Ms now = world_.now();
-  if (stream_ && now - heard_ > native_protocol::kHeartbeatsUntilDead * heartbeat_) redial();
+  if (stream_ && now - heard_ > native_protocol::kHeartbeatTimeoutPeriods * heartbeat_) redial();
   else if (joined_ && now - sent_ >= heartbeat_) send(native_protocol::Ping{applied_});
-  world_.reactor.at(now + heartbeat_ / 2, [this, alive = alive_] {
+  world_.reactor.call_at(now + heartbeat_ / 2, [this, alive = alive_] {
     if (*alive) beat();
   });
 }
@@ -249,12 +249,12 @@
     native_protocol::LoadReportMessage due = model_.report(world_.now());
     const Reporting& way = world_.reporting;
     if (way.late > 0)
-      world_.reactor.at(world_.now() + way.late, [this, alive = alive_, number = stream_number_, due] {
+      world_.reactor.call_at(world_.now() + way.late, [this, alive = alive_, number = stream_number_, due] {
         if (*alive && number == stream_number_ && joined_) send(due);
       });
     else if (!model_.loses_report(way.lost)) send(due);
   }
-  world_.reactor.at(world_.now() + period_, [this, alive = alive_] {
+  world_.reactor.call_at(world_.now() + period_, [this, alive = alive_] {
     if (*alive) report();
   });
 }
--- a/src/standin/proxy.h
+++ b/src/standin/proxy.h
@@ -39,7 +39,7 @@
   struct Request;
   void handle(http::Message&& message, http::Responder responder);
   void try_next(std::shared_ptr<Request> request, bool proof);
-  void tried(std::shared_ptr<Request> request, const Place& place, Ms sent, http::Client::Answer&& answer);
+  void tried(std::shared_ptr<Request> request, const Place& place, Ms sent, http::Client::Result&& answer);
   void finish(const std::shared_ptr<Request>& request, int status, const char* why);
 
   void dial();
--- a/src/standin/receiver.cpp
+++ b/src/standin/receiver.cpp
@@ -32,7 +32,7 @@
 void Receiver::fault(ReceiverFault fault, int status, int retry_after_s) {
   fault_ = fault, status_ = status, retry_after_s_ = retry_after_s;
   buried_.clear();
-  if (fault == ReceiverFault::away && http_) http_->reset_all(), http_.reset();
+  if (fault == ReceiverFault::away && http_) http_->reset_connections(), http_.reset();
   if (fault != ReceiverFault::away && !http_) open();
 }
 
@@ -41,15 +41,15 @@
   if (fault_ == ReceiverFault::hangs) return buried_.push_back(std::move(responder));
   if (fault_ == ReceiverFault::cut) return responder.reset();
   if (fault_ == ReceiverFault::status) {
-    http::Message no = http::response(status_, "not now\n", "text/plain");
+    http::Message no = http::make_response(status_, "not now\n", "text/plain");
     if (retry_after_s_ > 0) no.headers.emplace_back("retry-after", std::to_string(retry_after_s_));
     return responder.send(no);
   }
   std::string wrong = take(message);
   if (!wrong.empty() && wrong != refused_metric_ && sender_faults_.size() < kMostFaults)
     sender_faults_.push_back(wrong);
-  if (!wrong.empty()) return responder.send(http::response(400, wrong + "\n", "text/plain"));
-  responder.send(http::response(204, {}));
+  if (!wrong.empty()) return responder.send(http::make_response(400, wrong + "\n", "text/plain"));
+  responder.send(http::make_response(204, {}));
 }
 
 std::string Receiver::take(const http::Message& m) {
@@ -96,7 +96,7 @@
 
 void Receiver::look() {
   for (const alerts::Alert& a : evaluator_->look(store_, std::llround(base::wall_ms()))) fired_(a);
-  world_.reactor.at(world_.now() + every_, [this] { look(); });
+  world_.reactor.call_at(world_.now() + every_, [this] { look(); });
 }
 
 std::vector<std::string> find_gaps(const alerts::Store& store, std::int64_t most_ms,
--- a/src/standin/server.cpp
+++ b/src/standin/server.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 http::Message to_message(const Ask& ask) {
-  http::Message m = http::request("POST", "/request");
+  http::Message m = http::make_request("POST", "/request");
   m.headers.emplace_back("x-request", std::to_string(ask.request));
   m.headers.emplace_back("x-class", std::to_string(ask.request_class));
   m.headers.emplace_back("x-work", fmt::format("{}", ask.work_ms));
@@ -62,7 +62,7 @@
   if (!http_) return;
   world_.note(ServerDown{model_.spec().id, false});
   model_.stop();
-  http_->reset_all();
+  http_->reset_connections();
   http_.reset();
   working_.clear(), buried_.clear();
 }
@@ -71,13 +71,15 @@
   if (silent_ == silent) return;
   silent_ = silent;
   if (silent) world_.note(ServerDown{model_.spec().id, false}), model_.stop();
-  else if (http_) http_->reset_all(), working_.clear(), buried_.clear();  // back with no memory of anybody
+  else if (http_)
+    http_->reset_connections(), working_.clear(), buried_.clear();  // back with no memory of anybody
 }
 
 void Server::drain() { model_.drain(); }
 
 void Server::bury(http::Responder responder) {
-  if (buried_.size() > 256) std::erase_if(buried_, [](const http::Responder& r) { return !r.alive(); });
+  if (buried_.size() > 256)
+    std::erase_if(buried_, [](const http::Responder& r) { return !r.is_connected(); });
   buried_.push_back(std::move(responder));
 }
 
@@ -89,18 +91,18 @@
 void Server::handle(http::Message&& message, http::Responder responder) {
   if (swallowed(responder)) return bury(std::move(responder));
   auto arrive = [this, message = std::move(message), responder] {
-    if (!responder.alive() || silent_ || !http_) return bury(responder);
+    if (!responder.is_connected() || silent_ || !http_) return bury(responder);
     if (message.target == "/probe") {
       if (model_.faults.hung) return bury(responder);
-      return answer(responder, http::response(200, nlohmann::json(model_.load(world_.now())).dump()));
+      return answer(responder, http::make_response(200, nlohmann::json(model_.load(world_.now())).dump()));
     }
     auto ask = to_ask(message);
-    if (!ask) return responder.send(http::response(400, "a header is missing or odd\n", "text/plain"));
+    if (!ask) return responder.send(http::make_response(400, "a header is missing or odd\n", "text/plain"));
     take(*ask, responder);
   };
   Ms delay = world_.links.at(world_.locality(responder.peer()), model_.spec().locality).delay;
   if (delay <= 0) return arrive();
-  world_.reactor.at(world_.now() + delay, arrive);
+  world_.reactor.call_at(world_.now() + delay, arrive);
 }
 
 void Server::take(const Ask& ask, http::Responder responder) {
@@ -117,10 +119,10 @@
       break;
     case ServerModel::Taken::full:
     case ServerModel::Taken::draining:
-      answer(std::move(responder), http::response(503, "not taken in\n", "text/plain"));
+      answer(std::move(responder), http::make_response(503, "not taken in\n", "text/plain"));
       break;
     case ServerModel::Taken::error:
-      answer(std::move(responder), http::response(500, "failed\n", "text/plain"));
+      answer(std::move(responder), http::make_response(500, "failed\n", "text/plain"));
       break;
     case ServerModel::Taken::silent:
       bury(std::move(responder));
@@ -139,21 +141,21 @@
   message.headers.emplace_back("x-load", nlohmann::json(load).dump());
   Ms delay = world_.links.at(world_.locality(responder.peer()), model_.spec().locality).delay;
   if (delay <= 0) return responder.send(message);
-  world_.reactor.at(world_.now() + delay,
-                    [responder, message = std::move(message)] { responder.send(message); });
+  world_.reactor.call_at(world_.now() + delay,
+                         [responder, message = std::move(message)] { responder.send(message); });
 }
 
 void Server::work() {
   for (auto& done : model_.advance(world_.now())) {
     if (done.effect) world_.note(EffectDone{model_.spec().id, done.request, done.request_class});
     auto waiting = working_.extract(done.token);
-    if (!waiting.empty()) answer(std::move(waiting.mapped()), http::response(200, {}));
+    if (!waiting.empty()) answer(std::move(waiting.mapped()), http::make_response(200, {}));
   }
-  if (timer_) world_.reactor.cancel(*timer_);
+  if (timer_) world_.reactor.cancel_timer(*timer_);
   timer_.reset();
   Ms due = model_.next_due();
   if (due < base::kNever)
-    timer_ = world_.reactor.at(due, [this] {
+    timer_ = world_.reactor.call_at(due, [this] {
       timer_.reset();
       work();
     });
--- a/src/standin/traffic.cpp
+++ b/src/standin/traffic.cpp
@@ -22,7 +22,7 @@
   turn_.assign(spec_.rate.size(), 0);
   for (const TrafficClass& c : spec_.classes) class_share.push_back(c.share);
   for (net::Address from : spec_.from)
-    clients_.push_back(std::make_unique<http::Client>(world_.reactor, http::Client::Options{.from = from}));
+    clients_.push_back(std::make_unique<http::Client>(world_.reactor, http::Client::Options{.source = from}));
 }
 
 void Traffic::begin() {
@@ -38,7 +38,7 @@
   // A rate may change while one waits: nobody waits longer than a look at it takes.
   constexpr Ms kLook = 200;
   bool arrives = wait <= kLook;
-  world_.reactor.at(world_.now() + std::min(wait, kLook), [this, z, arrives] {
+  world_.reactor.call_at(world_.now() + std::min(wait, kLook), [this, z, arrives] {
     if (ended_) return;
     if (arrives) {
       auto asked = std::make_shared<Asked>();
@@ -70,15 +70,14 @@
   // Each ask of a client is a request of its own to the proxies: what a client repeats is not theirs.
   a->ask.request = next_request_++;
   net::Address to = fronts[turn_[a->locality]++ % fronts.size()];
-  clients_[a->locality]->ask(to, to_message(a->ask), left,
-                             [this, a, finish, &k](http::Client::Answer&& answer) {
-                               bool answered = answer.failure == http::Client::Failure::none;
-                               if (answered && answer.message.status == 200) return finish(true);
-                               bool refused = (answered && answer.message.status == 503) || !answer.sent;
-                               if (ended_ || a->tries > spec_.retries || (!refused && !k.repeat_after_any))
-                                 return finish(false);
-                               world_.reactor.at(world_.now() + spec_.retry_wait, [this, a] { ask(a); });
-                             });
+  clients_[a->locality]->send_request(
+      to, to_message(a->ask), left, [this, a, finish, &k](http::Client::Result&& answer) {
+        bool answered = answer.failure == http::Client::Failure::none;
+        if (answered && answer.response.status == 200) return finish(true);
+        bool refused = (answered && answer.response.status == 503) || !answer.request_sent;
+        if (ended_ || a->tries > spec_.retries || (!refused && !k.repeat_after_any)) return finish(false);
+        world_.reactor.call_at(world_.now() + spec_.retry_wait, [this, a] { ask(a); });
+      });
 }
 
 }  // namespace beamshunt::standin
--- a/src/telemetry/remote_writer.cpp
+++ b/src/telemetry/remote_writer.cpp
@@ -30,10 +30,10 @@
       write_log_(std::move(write_log)),
       exporter_(settings_.external_labels),
       sender_(settings_.sender),
-      client_(reactor, {.from = settings_.local_address,
-                        .connect_ms = settings_.request_timeout,
+      client_(reactor, {.source = settings_.local_address,
+                        .connect_timeout_ms = settings_.request_timeout,
                         .tls = settings_.tls,
-                        .tls_name = settings_.host.substr(0, settings_.host.find(':'))}),
+                        .tls_peer_name = settings_.host.substr(0, settings_.host.find(':'))}),
       buffer_(std::make_unique<Buffer>(settings_.folder, settings_.buffer)),
       fetched_(buffer_->acknowledged()),
       last_stamp_(buffer_->newest_ms()),
@@ -54,7 +54,7 @@
   AssignerMetrics metrics = read_metrics_();
   add_own_metrics(metrics);
   store(exporter_.scrape(metrics, next_scrape_stamp()));
-  reactor_.at(reactor_.now() + settings_.scrape_interval, [this, alive = alive_] {
+  reactor_.call_at(reactor_.now() + settings_.scrape_interval, [this, alive = alive_] {
     if (*alive) scrape();
   });
 }
@@ -122,7 +122,7 @@
 }
 
 void RemoteWriter::post(const Sender::Request& request) {
-  http::Message message = http::request("POST", settings_.path, request.body);
+  http::Message message = http::make_request("POST", settings_.path, request.body);
   message.headers = {{"host", settings_.host},
                      {"content-type", "application/x-protobuf"},
                      {"content-encoding", "snappy"},
@@ -130,20 +130,20 @@
                      {"x-prometheus-remote-write-version", "0.1.0"}};
   if (!settings_.authorization.empty())
     message.headers.emplace_back("authorization", settings_.authorization);
-  client_.ask(settings_.receiver, message, settings_.request_timeout,
-              [this, alive = alive_, shard = request.shard](http::Client::Answer&& answer) {
-                if (*alive) on_answer(shard, answer);
-              });
+  client_.send_request(settings_.receiver, message, settings_.request_timeout,
+                       [this, alive = alive_, shard = request.shard](http::Client::Result&& answer) {
+                         if (*alive) on_answer(shard, answer);
+                       });
 }
 
-void RemoteWriter::on_answer(std::size_t shard, const http::Client::Answer& answer) {
+void RemoteWriter::on_answer(std::size_t shard, const http::Client::Result& answer) {
   bool answered = answer.failure == http::Client::Failure::none;
-  int status = answer.message.status;
+  int status = answer.response.status;
   bool taken = answered && status / 100 == 2;
   if (taken != std::exchange(receiver_reached_, taken))
     write_log_(taken ? "metrics_receiver_recovered" : "metrics_receiver_unavailable",
                answered ? "status " + std::to_string(status) : answer.detail);
-  if (answered) sender_.on_response(shard, status, retry_after(answer.message), reactor_.now());
+  if (answered) sender_.on_response(shard, status, retry_after(answer.response), reactor_.now());
   else sender_.on_no_response(shard, reactor_.now());
   save_acknowledged();
   fetch();
@@ -153,11 +153,11 @@
 }
 
 void RemoteWriter::schedule_send() {
-  if (send_timer_) reactor_.cancel(*send_timer_);
+  if (send_timer_) reactor_.cancel_timer(*send_timer_);
   send_timer_.reset();
   Ms deadline = sender_.next_deadline();
   if (deadline >= base::kNever) return;
-  send_timer_ = reactor_.at(std::max(deadline, reactor_.now() + kMinSendDelay), [this, alive = alive_] {
+  send_timer_ = reactor_.call_at(std::max(deadline, reactor_.now() + kMinSendDelay), [this, alive = alive_] {
     if (!*alive) return;
     send_timer_.reset();
     send();
@@ -179,7 +179,7 @@
   finishing_ = true;
   finished_ = std::move(done);
   store(exporter_.stale(next_scrape_stamp()));
-  reactor_.at(reactor_.now() + max_wait, [this, alive = alive_] {
+  reactor_.call_at(reactor_.now() + max_wait, [this, alive = alive_] {
     if (*alive && finished_) std::exchange(finished_, nullptr)();
   });
 }
--- a/src/telemetry/remote_writer.h
+++ b/src/telemetry/remote_writer.h
@@ -67,7 +67,7 @@
   void fetch();
   void send();
   void post(const Sender::Request& request);
-  void on_answer(std::size_t shard, const http::Client::Answer& answer);
+  void on_answer(std::size_t shard, const http::Client::Result& answer);
   void schedule_send();
   void save_acknowledged();
   std::int64_t next_scrape_stamp() { return last_stamp_ = next_stamp(last_stamp_, base::wall_ms()); }
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct Collect : Parser::Sink {
-  void done(Message&& m) override { messages.push_back(std::move(m)); }
+  void on_message(Message&& m) override { messages.push_back(std::move(m)); }
   std::vector<Message> messages;
 };
 
@@ -17,7 +17,7 @@
   Collect sink;
   Parser parser(kind, sink, limits);
   for (std::size_t k = 0; k < bytes.size(); k += step) parser.feed(bytes.substr(k, step));
-  if (!parser.between_messages()) parser.end();
+  if (!parser.between_messages()) parser.finish();
   return sink.messages;
 }
 
@@ -83,7 +83,7 @@
 }
 
 TEST(HttpParser, EveryPartIsBounded) {
-  Limits tight{.line = 64, .head = 128, .headers = 3, .body = 10};
+  Limits tight{.max_line_bytes = 64, .max_head_bytes = 128, .max_headers = 3, .max_body_bytes = 10};
   EXPECT_EQ(refusal("GET /" + std::string(100, 'a') + " HTTP/1.1\r\n", tight), 400);
   EXPECT_EQ(refusal("GET / HTTP/1.1\r\nA: " + std::string(100, 'a'), tight), 431);
   EXPECT_EQ(refusal("GET / HTTP/1.1\r\nA: b\r\nA: b\r\nA: b\r\nA: b\r\n", tight), 431);
@@ -107,11 +107,11 @@
       else mutated.erase(at, draw(5));
     }
     Collect sink;
-    Parser parser(draw(2) ? Parser::Kind::request : Parser::Kind::response, sink, {.body = 100});
+    Parser parser(draw(2) ? Parser::Kind::request : Parser::Kind::response, sink, {.max_body_bytes = 100});
     try {
       for (std::size_t k = 0, step = 1 + draw(50); k < mutated.size(); k += step)
         parser.feed(std::string_view(mutated).substr(k, step));
-      parser.end();
+      parser.finish();
     } catch (const ParseError& error) {
       EXPECT_LE(error.offset, mutated.size());
     }
@@ -120,10 +120,10 @@
 }
 
 TEST(HttpMessage, SerializedMessagesParse) {
-  auto whole = parsed(Parser::Kind::request, serialize(request("POST", "/x", "body")), 5);
+  auto whole = parsed(Parser::Kind::request, serialize(make_request("POST", "/x", "body")), 5);
   ASSERT_EQ(whole.size(), 1u);
   EXPECT_EQ(whole[0].body, "body");
-  auto answer = parsed(Parser::Kind::response, serialize(response(404, "no")), 5);
+  auto answer = parsed(Parser::Kind::response, serialize(make_response(404, "no")), 5);
   ASSERT_EQ(answer.size(), 1u);
   EXPECT_EQ(answer[0].reason, "Not Found");
 }
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -11,23 +11,23 @@
 class HttpTest : public ::testing::Test {
  protected:
   void run_until(const bool& done) {
-    auto limit = reactor.at(reactor.now() + 10000, [&] { reactor.stop(), expired = true; });
+    auto limit = reactor.call_at(reactor.now() + 10000, [&] { reactor.stop(), expired = true; });
     std::function<void()> look = [&] {
       if (done) return reactor.stop();
-      reactor.at(reactor.now() + 1, look);
+      reactor.call_at(reactor.now() + 1, look);
     };
     look();
     if (!done) reactor.run();
-    reactor.cancel(limit);
+    reactor.cancel_timer(limit);
     ASSERT_FALSE(expired);
   }
-  Client::Answer ask(Client& client, net::Address to, const std::string& target, double timeout = 3000) {
-    std::optional<Client::Answer> out;
+  Client::Result ask(Client& client, net::Address to, const std::string& target, double timeout = 3000) {
+    std::optional<Client::Result> out;
     bool done = false;
-    client.ask(to, request("GET", target), timeout,
-               [&](Client::Answer&& a) { out = std::move(a), done = true; });
+    client.send_request(to, make_request("GET", target), timeout,
+                        [&](Client::Result&& a) { out = std::move(a), done = true; });
     run_until(done);
-    return out.value_or(Client::Answer{});
+    return out.value_or(Client::Result{});
   }
   net::Reactor reactor;
   bool expired = false;
@@ -35,12 +35,13 @@
 
 // A client that keeps no connection once looked for one where none had been kept, and crashed.
 TEST_F(HttpTest, AClientThatKeepsNoConnectionAsksAgainByAFreshOne) {
-  Server server(reactor, {0x7f000001, 0}, [&](Message&&, Responder r) { r.send(response(200, "1")); }, {});
-  Client client(reactor, {.most_idle = 0});
+  Server server(reactor, {0x7f000001, 0}, [&](Message&&, Responder r) { r.send(make_response(200, "1")); },
+                {});
+  Client client(reactor, {.max_idle_connections = 0});
   for (int k = 0; k < 3; ++k) {
-    Client::Answer answer = ask(client, server.address(), "/");
+    Client::Result answer = ask(client, server.address(), "/");
     EXPECT_EQ(answer.failure, Client::Failure::none);
-    EXPECT_TRUE(answer.fresh);
+    EXPECT_TRUE(answer.new_connection);
   }
 }
 
@@ -50,7 +51,7 @@
                 [&](Message&& m, Responder r) {
                   held.emplace_back(m.target, r);
                   if (held.size() < 3) return;
-                  for (std::size_t k = 3; k-- > 0;) held[k].second.send(response(200, held[k].first));
+                  for (std::size_t k = 3; k-- > 0;) held[k].second.send(make_response(200, held[k].first));
                   held.clear();
                 },
                 {});
@@ -64,25 +65,25 @@
             },
             {},
             {}});
-  c->send(serialize(request("GET", "/1")) + serialize(request("GET", "/2")) +
-          serialize(request("GET", "/3")));
+  c->send(serialize(make_request("GET", "/1")) + serialize(make_request("GET", "/2")) +
+          serialize(make_request("GET", "/3")));
   run_until(done);
   EXPECT_LT(came.find("/1"), came.find("/2"));
   EXPECT_LT(came.find("/2"), came.find("/3"));
 }
 
 TEST_F(HttpTest, KeepsConnectionsAndTellsFreshOnes) {
-  Server server(reactor, {0x7f000001, 0}, [](Message&& m, Responder r) { r.send(response(200, m.target)); },
-                {});
-  Client client(reactor, {.from = {0x7f000003, 0}});
+  Server server(reactor, {0x7f000001, 0},
+                [](Message&& m, Responder r) { r.send(make_response(200, m.target)); }, {});
+  Client client(reactor, {.source = {0x7f000003, 0}});
   auto first = ask(client, server.address(), "/a"), second = ask(client, server.address(), "/b");
   EXPECT_EQ(first.failure, Client::Failure::none);
-  EXPECT_TRUE(first.fresh);
-  EXPECT_FALSE(second.fresh);
-  EXPECT_EQ(second.message.body, "/b");
-  EXPECT_EQ(server.connections(), 1u);
-  client.drop_idle(server.address());
-  EXPECT_TRUE(ask(client, server.address(), "/c").fresh);
+  EXPECT_TRUE(first.new_connection);
+  EXPECT_FALSE(second.new_connection);
+  EXPECT_EQ(second.response.body, "/b");
+  EXPECT_EQ(server.connection_count(), 1u);
+  client.close_idle(server.address());
+  EXPECT_TRUE(ask(client, server.address(), "/c").new_connection);
 }
 
 TEST_F(HttpTest, SilenceRefusalResetAndRubbishAreToldApart) {
@@ -97,14 +98,14 @@
   net::Listener rubbish(reactor, {0x7f000001, 0}, [](std::shared_ptr<net::Connection> c) {
     c->start({});
     c->send(std::string("SMTP ready\r\n"));
-    c->close_after_sending();
+    c->close_after_flush();
   });
   Client client(reactor, {});
   EXPECT_EQ(ask(client, server.address(), "/silent", 50).failure, Client::Failure::timed_out);
-  EXPECT_EQ(ask(client, server.address(), "/reset").failure, Client::Failure::broken);
-  EXPECT_EQ(ask(client, server.address(), "/dropped").failure, Client::Failure::broken);
+  EXPECT_EQ(ask(client, server.address(), "/reset").failure, Client::Failure::connection_lost);
+  EXPECT_EQ(ask(client, server.address(), "/dropped").failure, Client::Failure::connection_lost);
   EXPECT_EQ(ask(client, rubbish.address(), "/").failure, Client::Failure::malformed);
-  EXPECT_EQ(ask(client, {0x7f000001, 1}, "/").failure, Client::Failure::connect);
+  EXPECT_EQ(ask(client, {0x7f000001, 1}, "/").failure, Client::Failure::connect_failed);
 }
 
 TEST_F(HttpTest, StreamsComeInPiecesAndEndOrBreakAudibly) {
@@ -112,33 +113,33 @@
   Server server(reactor, {0x7f000001, 0},
                 [&](Message&&, Responder r) {
                   r.begin_stream(200, "text/plain");
-                  r.stream("one ");
+                  r.send_chunk("one ");
                   stream = r;
                 },
                 {});
   Client client(reactor, {});
   std::string came;
-  std::optional<Client::Answer> end;
+  std::optional<Client::Result> end;
   bool first = false, done = false;
   auto piece = [&](std::string_view p) { came += p, first = true; };
-  auto ended = [&](Client::Answer&& a) { end = std::move(a), done = true; };
-  client.listen(server.address(), request("GET", "/"), 3000, piece, ended);
+  auto ended = [&](Client::Result&& a) { end = std::move(a), done = true; };
+  client.stream_response(server.address(), make_request("GET", "/"), 3000, piece, ended);
   run_until(first);
-  EXPECT_TRUE(stream->stream("two"));
+  EXPECT_TRUE(stream->send_chunk("two"));
   stream->end_stream();
   run_until(done);
   EXPECT_EQ(came, "one two");
   EXPECT_EQ(end->failure, Client::Failure::none);
   done = first = false;
-  client.listen(server.address(), request("GET", "/"), 60, piece, ended);
+  client.stream_response(server.address(), make_request("GET", "/"), 60, piece, ended);
   run_until(done);
   EXPECT_EQ(end->failure, Client::Failure::timed_out);
 }
 
 TEST_F(HttpTest, BadRequestsGetOneAnswerAndTheirConnectionEnds) {
   std::string told;
-  Server server(reactor, {0x7f000001, 0}, [](Message&&, Responder r) { r.send(response(200, "ok")); },
-                {.on_bad = [&](net::Address, const ParseError& e) { told = e.what(); }});
+  Server server(reactor, {0x7f000001, 0}, [](Message&&, Responder r) { r.send(make_response(200, "ok")); },
+                {.on_malformed_request = [&](net::Address, const ParseError& e) { told = e.what(); }});
   std::string came;
   bool done = false;
   auto c = net::Connection::dial(reactor, server.address(), {});
--- a/tests/http/tls_test.cpp
+++ b/tests/http/tls_test.cpp
@@ -53,23 +53,23 @@
 
 class TlsTest : public ::testing::Test {
  protected:
-  Client::Answer ask(Client& client, net::Address to, std::string body = {}) {
-    std::optional<Client::Answer> out;
-    auto limit = reactor.at(reactor.now() + 10000, [&] { reactor.stop(); });
-    client.ask(to, request("POST", "/x", std::move(body)), 3000, [&](Client::Answer&& a) {
+  Client::Result ask(Client& client, net::Address to, std::string body = {}) {
+    std::optional<Client::Result> out;
+    auto limit = reactor.call_at(reactor.now() + 10000, [&] { reactor.stop(); });
+    client.send_request(to, make_request("POST", "/x", std::move(body)), 3000, [&](Client::Result&& a) {
       out = std::move(a);
       reactor.stop();
     });
     reactor.run();
-    reactor.cancel(limit);
-    return out.value_or(Client::Answer{.failure = Client::Failure::timed_out, .detail = "the test"});
+    reactor.cancel_timer(limit);
+    return out.value_or(Client::Result{.failure = Client::Failure::timed_out, .detail = "the test"});
   }
   std::unique_ptr<Server> serve(std::shared_ptr<const net::TlsContext> tls) {
     Server::Options options;
     options.tls = std::move(tls);
     return std::make_unique<Server>(
         reactor, net::Address{0x7f000001, 0},
-        [](Message&& m, Responder r) { r.send(response(200, std::to_string(m.body.size()))); }, options);
+        [](Message&& m, Responder r) { r.send(make_response(200, std::to_string(m.body.size()))); }, options);
   }
   net::Reactor reactor;
   Identity own{"own", "IP:127.0.0.1"}, other{"other", "IP:127.0.0.9"};
@@ -77,27 +77,27 @@
 
 TEST_F(TlsTest, ATrustedServerIsSpokenToAndItsConnectionKept) {
   auto server = serve(net::TlsContext::server(own.chain, own.key));
-  Client client(reactor, {.tls = net::TlsContext::client(own.chain), .tls_name = "127.0.0.1"});
+  Client client(reactor, {.tls = net::TlsContext::client(own.chain), .tls_peer_name = "127.0.0.1"});
   auto big = ask(client, server->address(), std::string(1000000, 'x'));
   EXPECT_EQ(big.failure, Client::Failure::none) << big.detail;
-  EXPECT_EQ(big.message.body, "1000000");
-  EXPECT_FALSE(ask(client, server->address()).fresh);
+  EXPECT_EQ(big.response.body, "1000000");
+  EXPECT_FALSE(ask(client, server->address()).new_connection);
 }
 
 TEST_F(TlsTest, WhoIsNotTrustedOrNotByThatNameGetsNothing) {
   auto server = serve(net::TlsContext::server(own.chain, own.key));
-  Client stranger(reactor, {.tls = net::TlsContext::client(other.chain), .tls_name = "127.0.0.1"});
+  Client stranger(reactor, {.tls = net::TlsContext::client(other.chain), .tls_peer_name = "127.0.0.1"});
   auto a = ask(stranger, server->address());
-  EXPECT_EQ(a.failure, Client::Failure::connect);
+  EXPECT_EQ(a.failure, Client::Failure::connect_failed);
   EXPECT_EQ(a.detail, "untrusted");
   auto misnamed = serve(net::TlsContext::server(other.chain, other.key));
-  Client client(reactor, {.tls = net::TlsContext::client(other.chain), .tls_name = "127.0.0.1"});
+  Client client(reactor, {.tls = net::TlsContext::client(other.chain), .tls_peer_name = "127.0.0.1"});
   EXPECT_EQ(ask(client, misnamed->address()).detail, "untrusted");
 }
 
 TEST_F(TlsTest, APlainServerAndAPlainClientAreToldApart) {
   auto plain = serve(nullptr);
-  Client client(reactor, {.tls = net::TlsContext::client(own.chain), .tls_name = "127.0.0.1"});
+  Client client(reactor, {.tls = net::TlsContext::client(own.chain), .tls_peer_name = "127.0.0.1"});
   EXPECT_NE(ask(client, plain->address()).failure, Client::Failure::none);
   auto server = serve(net::TlsContext::server(own.chain, own.key));
   Client bare(reactor, {});
--- a/tests/load/load_test.cpp
+++ b/tests/load/load_test.cpp
@@ -44,14 +44,14 @@
   http::Server server(reactor, {(127u << 24) + (231u << 16) + 1, 8061},
                       [&](http::Message&&, http::Responder r) {
                         if (stalled) held.push_back(std::move(r));
-                        else r.send(http::response(200, {}));
+                        else r.send(http::make_response(200, {}));
                       },
                       {});
   Ms now = base::monotonic_ms();
-  reactor.at(now + 300, [&] { stalled = true; });
-  reactor.at(now + 700, [&] {
+  reactor.call_at(now + 300, [&] { stalled = true; });
+  reactor.call_at(now + 700, [&] {
     stalled = false;
-    for (http::Responder& r : held) r.send(http::response(200, {}));
+    for (http::Responder& r : held) r.send(http::make_response(200, {}));
   });
   Loaded out = run(reactor, {.to = {server.address()}, .rate = {.mean = 400, .length = 1000}, .within = 100});
   EXPECT_GT(out.due, 300u);
@@ -68,7 +68,7 @@
   http::Server server(reactor, {(127u << 24) + (231u << 16) + 1, 8062},
                       [&](http::Message&&, http::Responder r) {
                         int status[] = {200, 503, 500};
-                        if (int k = number++ % 4; k < 3) r.send(http::response(status[k], {}));
+                        if (int k = number++ % 4; k < 3) r.send(http::make_response(status[k], {}));
                         else held.push_back(std::move(r));  // never answered
                       },
                       {});
--- a/tests/native_protocol/frames_test.cpp
+++ b/tests/native_protocol/frames_test.cpp
@@ -32,7 +32,7 @@
   FrameParser parser;
   std::vector<Frame> out;
   for (std::size_t k = 0; k < bytes.size(); k += step) parser.feed(bytes.substr(k, step), out);
-  EXPECT_EQ(parser.unfinished(), 0u);
+  EXPECT_EQ(parser.buffered_bytes(), 0u);
   return out;
 }
 
@@ -82,7 +82,7 @@
   for (const Frame& f : kBad) {
     FrameParser parser;
     std::vector<Frame> out;
-    EXPECT_THROW(parser.feed(encode(f), out), ProtocolError) << kind_name(f);
+    EXPECT_THROW(parser.feed(encode(f), out), ProtocolError) << frame_kind_name(f);
   }
 }
 
@@ -125,7 +125,7 @@
       ++refused;
       EXPECT_LE(error.offset, mutated.size());
     }
-    EXPECT_LE(parser.unfinished(), 4096u + kHeaderBytes + 97);
+    EXPECT_LE(parser.buffered_bytes(), 4096u + kFrameHeaderBytes + 97);
   }
   EXPECT_GT(refused, 10000);
 }
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -19,14 +19,14 @@
   template <typename Done>
   bool until(Done done) {
     bool expired = false;
-    auto limit = reactor.at(reactor.now() + 10000, [&] { expired = true, reactor.stop(); });
+    auto limit = reactor.call_at(reactor.now() + 10000, [&] { expired = true, reactor.stop(); });
     std::function<void()> look = [&] {
       if (done()) return reactor.stop();
-      reactor.at(reactor.now() + 1, look);
+      reactor.call_at(reactor.now() + 1, look);
     };
     look();
     if (!done()) reactor.run();
-    reactor.cancel(limit);
+    reactor.cancel_timer(limit);
     return !expired;
   }
   struct End {
@@ -51,15 +51,15 @@
   std::string much(3000000, 'x');
   for (std::size_t k = 0; k < much.size(); ++k) much[k] = static_cast<char>(k * 7 % 251);
   ASSERT_TRUE(near.connection->send(much));
-  near.connection->end();
+  near.connection->shutdown_write();
   ASSERT_TRUE(until([&] { return far.ended; }));
   EXPECT_EQ(far.came, much);
   EXPECT_EQ(far.connection->peer().ip, 0x7f000002u);
   EXPECT_TRUE(far.connection->send(std::string("answer")));
-  far.connection->end();
+  far.connection->shutdown_write();
   ASSERT_TRUE(until([&] { return near.closed.has_value(); }));
   EXPECT_EQ(near.came, "answer");
-  EXPECT_EQ(*near.closed, CloseReason::ended);
+  EXPECT_EQ(*near.closed, CloseReason::end_of_stream);
 }
 
 TEST_F(NetTest, ResetAndRefusalAreTold) {
@@ -84,17 +84,17 @@
   End other_far, other_near;
   int accepted = 0;
   Listener listener(reactor, {kLoopback, 0}, [&](auto c) { attach(accepted++ == 0 ? far : other_far, c); },
-                    {.most_unsent = 1 << 20});
+                    {.max_unsent_bytes = 1 << 20});
   attach(near, Connection::dial(reactor, listener.address(), {}));
   ASSERT_TRUE(until([&] { return far.connection && near.connected; }));
   attach(other_near, Connection::dial(reactor, listener.address(), {}));
   ASSERT_TRUE(until([&] { return other_far.connection && other_near.connected; }));
-  near.connection->pause(true);
+  near.connection->set_reading_paused(true);
   auto block = std::make_shared<const std::string>(std::string(65536, 'x'));
   bool taken = true;
   for (int k = 0; k < 1000 && taken; ++k) taken = far.connection->send(block);
   EXPECT_FALSE(taken);
-  EXPECT_LE(far.connection->unsent(), (1u << 20) + block->size());
+  EXPECT_LE(far.connection->unsent_bytes(), (1u << 20) + block->size());
   other_far.connection->send(std::string("still served"));
   ASSERT_TRUE(until([&] { return other_near.came == "still served" && far.closed; }));
   EXPECT_EQ(*far.closed, CloseReason::peer_does_not_read);
@@ -104,13 +104,13 @@
   Listener listener(reactor, {kLoopback, 0}, [&](auto c) { attach(far, c); });
   attach(near, Connection::dial(reactor, listener.address(), {}));
   ASSERT_TRUE(until([&] { return far.connection != nullptr; }));
-  far.connection->pause(true);
+  far.connection->set_reading_paused(true);
   near.connection->send(std::string(500000, 'y'));
   bool waited = false;
-  reactor.at(reactor.now() + 50, [&] { waited = true; });
+  reactor.call_at(reactor.now() + 50, [&] { waited = true; });
   ASSERT_TRUE(until([&] { return waited; }));
   EXPECT_LT(far.came.size(), 500000u);
-  far.connection->pause(false);
+  far.connection->set_reading_paused(false);
   ASSERT_TRUE(until([&] { return far.came.size() == 500000; }));
 }
 
@@ -118,7 +118,7 @@
   Listener listener(reactor, {kLoopback, 0}, [&](auto c) {
     attach(far, c);
     far.connection->send(std::string(200000, 'z'));
-    far.connection->close_after_sending();
+    far.connection->close_after_flush();
   });
   attach(near, Connection::dial(reactor, listener.address(), {}));
   ASSERT_TRUE(until([&] { return near.ended; }));
@@ -137,7 +137,7 @@
   setrlimit(RLIMIT_NOFILE, &tight);
   ASSERT_TRUE(until([&] { return near.ended || near.closed; }));
   setrlimit(RLIMIT_NOFILE, &old);
-  EXPECT_EQ(listener.turned_away(), 1u);
+  EXPECT_EQ(listener.rejected_connections(), 1u);
   EXPECT_EQ(far.connection, nullptr);
   End again;
   attach(again, Connection::dial(reactor, listener.address(), {}));
@@ -147,11 +147,11 @@
 TEST_F(NetTest, TimersFireInOrderAndCancelledOnesDoNot) {
   std::string order;
   Ms now = reactor.now();
-  reactor.at(now + 3, [&] { order += 'c'; });
-  reactor.at(now + 1, [&] { order += 'a'; });
-  reactor.at(now + 1, [&] { order += 'b'; });
-  auto never = reactor.at(now + 2, [&] { order += 'x'; });
-  reactor.cancel(never);
+  reactor.call_at(now + 3, [&] { order += 'c'; });
+  reactor.call_at(now + 1, [&] { order += 'a'; });
+  reactor.call_at(now + 1, [&] { order += 'b'; });
+  auto never = reactor.call_at(now + 2, [&] { order += 'x'; });
+  reactor.cancel_timer(never);
   ASSERT_TRUE(until([&] { return order.size() == 3; }));
   EXPECT_EQ(order, "abc");
 }
--- a/tests/platform/service_test.cpp
+++ b/tests/platform/service_test.cpp
@@ -56,16 +56,16 @@
                  asked.push_back(request.target);
                  if (refusals > 0) {
                    --refusals;
-                   return responder.send(http::response(503, list(9, true, {}).dump() + "\n"));
+                   return responder.send(http::make_response(503, list(9, true, {}).dump() + "\n"));
                  }
                  if (holds) return watches.push_back(responder);
                  responder.begin_stream(200, "application/json");
-                 responder.stream(four().dump() + "\n");
+                 responder.send_chunk(four().dump() + "\n");
                  watches.push_back(responder);
                },
                {}) {}
   void tell(const json& object) {
-    for (auto& w : watches) w.stream(object.dump() + "\n");
+    for (auto& w : watches) w.send_chunk(object.dump() + "\n");
   }
   int refusals = 0;    // calls that are answered 503, with a body that looks like a list
   bool holds = false;  // calls wait for an answer
@@ -108,14 +108,14 @@
   }
   void until(const char* what, const std::function<bool()>& done, Ms most = 10000) {
     bool expired = false;
-    auto limit = reactor.at(base::monotonic_ms() + most, [&] { expired = true, reactor.stop(); });
+    auto limit = reactor.call_at(base::monotonic_ms() + most, [&] { expired = true, reactor.stop(); });
     std::function<void()> look = [&] {
       if (done()) return reactor.stop();
-      reactor.at(reactor.now() + 10, look);
+      reactor.call_at(reactor.now() + 10, look);
     };
-    auto first = reactor.at(reactor.now(), look);
+    auto first = reactor.call_at(reactor.now(), look);
     reactor.run();
-    reactor.cancel(limit), reactor.cancel(first);
+    reactor.cancel_timer(limit), reactor.cancel_timer(first);
     ASSERT_FALSE(expired) << what << "; log: " << base::read_file(folder + ".log").value_or("");
   }
   std::unique_ptr<Peer> join(int node) {
@@ -262,11 +262,12 @@
     start();
     until("its watch", [&] { return !discovery.watches.empty(); });
     std::unique_ptr<Peer> proxy;
-    if (k == 1) discovery.watches.back().stream(list(6, true, {}).dump().substr(0, 20));  // a list in half
+    if (k == 1)
+      discovery.watches.back().send_chunk(list(6, true, {}).dump().substr(0, 20));  // a list in half
     if (k == 2) {
       until("alive", [&] { return alive(); });
       proxy = join(0);
-      proxy->connection->pause(true);  // a message that is not read
+      proxy->connection->set_reading_paused(true);  // a message that is not read
       discovery.tell(list(6, false, {target("s-a", "north", "terminating")}));
     }
     child->signal(SIGTERM);
