--- a/src/assigner/action_executor.cpp
+++ b/src/assigner/action_executor.cpp
@@ -7,7 +7,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 class ActionVisitor {
  public:
@@ -24,7 +24,7 @@
     running_.timers.emplace(x.deadline.time_since_epoch().count(), x.token);
   }
   void operator()(const SendHealthCheck& x) {
-    if (const EndpointListEntry* entry = targets_.endpoints.find(raw(x.endpoint)))
+    if (const EndpointListEntry* entry = targets_.endpoints.find(to_underlying(x.endpoint)))
       targets_.effects.emplace_back(SendHealthCheckRequest{x.endpoint, entry->address});
   }
   void operator()(const SendPeerMessage& x) {
--- a/src/assigner/cached_list_codec.cpp
+++ b/src/assigner/cached_list_codec.cpp
@@ -33,12 +33,12 @@
 std::string encode_cached_list(const EndpointCatalog& catalog) {
   base::Encoder encoder;
   encoder(kFormatVersion, catalog.version(), catalog.entries());
-  return base::sealed(encoder.bytes());
+  return base::encode_record(encoder.bytes());
 }
 
 EndpointCatalog decode_cached_list(std::string_view bytes) {
   std::size_t offset = 0;
-  auto payload = base::unseal(bytes, offset);
+  auto payload = base::read_record(bytes, offset);
   if (!payload || offset != bytes.size()) throw CachedListError();
   base::Decoder decoder(*payload);
   std::uint16_t version = 0;
@@ -47,7 +47,7 @@
     decoder(version);
     if (version != kFormatVersion) decoder.fail(fmt::format("version {}, not {}", version, kFormatVersion));
     decoder(list.version, list.entries);
-    decoder.end();
+    decoder.expect_end();
   } catch (const base::DecodeError& error) {
     throw CachedListError(error.offset, error.what());
   }
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -11,7 +11,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 // Of the messages that a proxy may be sent within the window, the part that may be spent before a handover:
 // it costs each proxy one message, and drains must find theirs behind it.
@@ -23,7 +23,7 @@
   auto encoded = [](const Settings& settings) {
     base::Encoder encoder;
     encoder(settings);
-    return encoder.take();
+    return encoder.release();
   };
   return encoded(a) == encoded(b);
 }
@@ -256,7 +256,7 @@
   for (auto& [proxy, updates] : writer_.take()) {
     auto session = protocol_.sessions().find_proxy(proxy);
     if (session == protocol_.sessions().end()) continue;
-    if (interceptor_) interceptor_(now, raw(proxy), updates, endpoints_);
+    if (interceptor_) interceptor_(now, to_underlying(proxy), updates, endpoints_);
     if (!updates.empty()) enqueue_message(controller, session, std::move(updates), now);
   }
 }
--- a/src/assigner/core_metrics.cpp
+++ b/src/assigner/core_metrics.cpp
@@ -8,7 +8,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 // In which a rate of attempts fades: long against a report period, short against what people watch.
 constexpr Ms kRateFade = 1000;
@@ -31,7 +31,7 @@
 void CoreMetrics::add_report(Locality from, const channel::LoadReportMessage& report,
                              const EndpointCatalog& endpoints, Ms now) {
   for (const channel::DemandReportEntry& entry : report.demand) {
-    ServiceTotals& totals = service_[{raw(from), entry.request_class}];
+    ServiceTotals& totals = service_[{to_underlying(from), entry.request_class}];
     totals.arrivals += entry.arrivals;
     totals.failed += entry.failed;
     totals.within_objective += entry.within_objective;
@@ -65,8 +65,8 @@
     limits = &table->second.limits;
   }
   for (const auto& [request_class, limit] : *limits) {
-    bool concerned = action.classes == 0 || ((action.classes >> raw(request_class)) & 1) != 0;
-    if (concerned && action.limit < limit.limit) ++limit_cuts_[raw(request_class)];
+    bool concerned = action.classes == 0 || ((action.classes >> to_underlying(request_class)) & 1) != 0;
+    if (concerned && action.limit < limit.limit) ++limit_cuts_[to_underlying(request_class)];
   }
 }
 
--- a/src/assigner/core_status.cpp
+++ b/src/assigner/core_status.cpp
@@ -9,7 +9,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 nlohmann::json counters_json(const Counters& counters) {
   return {{"events", counters.events},
@@ -22,13 +22,15 @@
           {"unknown_endpoints", counters.unknown_endpoints}};
 }
 
-nlohmann::json table_json(const assignments::Table& table, const std::vector<std::string>& class_names) {
+nlohmann::json table_json(const assignments::WeightTable& table,
+                          const std::vector<std::string>& class_names) {
   nlohmann::json weights = nlohmann::json::object();
-  for (const auto& [endpoint, weight] : table.weights) weights[std::to_string(raw(endpoint))] = weight;
+  for (const auto& [endpoint, weight] : table.weights)
+    weights[std::to_string(to_underlying(endpoint))] = weight;
   nlohmann::json limits = nlohmann::json::object();
   for (const auto& [request_class, limit] : table.limits)
-    limits[class_names[raw(request_class)]] = {{"level", limit.limit},
-                                               {"retry", static_cast<int>(limit.retry_mode)}};
+    limits[class_names[to_underlying(request_class)]] = {{"level", limit.limit},
+                                                         {"retry", static_cast<int>(limit.retry_mode)}};
   return {{"users", table.proxies.size()}, {"lines", weights}, {"levels", limits}};
 }
 
@@ -49,9 +51,10 @@
   }
   for (const auto& [proxy, stream] : core.sessions.proxies()) {
     const Session& session = core.sessions.session_of(stream);
-    out.proxies.push_back(
-        {raw(proxy), core.site.locality_of.find(session.address.ip).value_or(0), session.expected_rate,
-         session.messages.count(now, core.site.policy.message_window.count()), session.address});
+    out.proxies.push_back({to_underlying(proxy), core.site.locality_of.find(session.address.ip).value_or(0),
+                           session.expected_rate,
+                           session.messages.count(now, core.site.policy.message_window.count()),
+                           session.address});
   }
   out.came = metrics.arrivals_by_class(core.site.policy.classes.size());
   out.streams = core.sessions.size();
--- a/src/assigner/flight_record_file.cpp
+++ b/src/assigner/flight_record_file.cpp
@@ -25,7 +25,7 @@
 void FlightRecordFile::truncate_torn_tail(log::Log& log, const std::string& path) {
   std::string bytes = base::read_file(path).value_or("");
   std::size_t whole = 0;  // bytes of records that are complete
-  while (whole < bytes.size() && base::unseal(bytes, whole)) {
+  while (whole < bytes.size() && base::read_record(bytes, whole)) {
   }
   if (whole == bytes.size()) return;
   if (::ftruncate(file_.get(), static_cast<off_t>(whole)) != 0)
--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -280,7 +280,7 @@
   bool other_metrics = settings_.remote_write != next.remote_write;
   core_.reconfigure(next, version.number, version.hash, reactor_.now());
   settings_ = next;
-  log_.least(log_level_of(settings_.log_level));
+  log_.set_min_level(log_level_of(settings_.log_level));
   if (other_metrics) {
     try {
       open_metrics_writer();
--- a/src/assigner/state_folder.cpp
+++ b/src/assigner/state_folder.cpp
@@ -37,7 +37,7 @@
   std::uint64_t epoch = 0;
   if (auto bytes = base::read_file(file)) {
     std::size_t offset = 0;
-    if (auto payload = base::unseal(*bytes, offset)) {
+    if (auto payload = base::read_record(*bytes, offset)) {
       base::Decoder decoder(*payload);
       decoder(epoch);
     } else {
@@ -48,7 +48,7 @@
   ++epoch;
   base::Encoder encoder;
   encoder(epoch);
-  base::replace_file(file, base::sealed(encoder.bytes()));
+  base::replace_file(file, base::encode_record(encoder.bytes()));
   return epoch;
 }
 
--- a/src/assigner/update_writer.cpp
+++ b/src/assigner/update_writer.cpp
@@ -5,7 +5,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 // Far more tables than a controller makes; what is left of the number's 32 bits tells controllers apart. The
 // last range stays free, for channel::kAllTables is in it.
@@ -21,8 +21,9 @@
     return channel::AssignTableUpdate{x.classes, wire_table_id(controller_, x.table)};
   }
   channel::Update operator()(const assignments::WeightChanged& x) const {
-    channel::WeightUpdate update{
-        .table = wire_table_id(controller_, x.table), .endpoint = raw(x.endpoint), .weight = x.weight};
+    channel::WeightUpdate update{.table = wire_table_id(controller_, x.table),
+                                 .endpoint = to_underlying(x.endpoint),
+                                 .weight = x.weight};
     const EndpointListEntry* endpoint = endpoints_.find(update.endpoint);
     if (endpoint && x.weight > 0) {
       update.locality = static_cast<std::uint16_t>(endpoint->locality);
@@ -41,7 +42,7 @@
         static_cast<std::uint8_t>(x.limit.retry_mode)};
   }
   channel::Update operator()(const assignments::EndpointExcluded& x) const {
-    return channel::ExcludeEndpointUpdate{raw(x.endpoint), x.excluded};
+    return channel::ExcludeEndpointUpdate{to_underlying(x.endpoint), x.excluded};
   }
 
  private:
@@ -52,7 +53,7 @@
 }  // namespace
 
 std::uint32_t wire_table_id(std::uint32_t controller, TableId table) {
-  return controller % kControllerRanges * kTablesPerController + raw(table);
+  return controller % kControllerRanges * kTablesPerController + to_underlying(table);
 }
 
 channel::Update to_channel_update(std::uint32_t controller, const assignments::Update& update,
--- a/src/assignments/assignment_tables.cpp
+++ b/src/assignments/assignment_tables.cpp
@@ -18,7 +18,7 @@
 }
 
 void AssignmentTables::apply(const SetWeight& action, const WriteUpdate& write) {
-  Table& table = tables_[action.table];
+  WeightTable& table = tables_[action.table];
   if (action.weight > 0) table.weights[action.endpoint] = action.weight;
   else table.weights.erase(action.endpoint);
   for (const auto& [proxy, classes] : table.proxies)
@@ -26,7 +26,7 @@
 }
 
 void AssignmentTables::apply(const ClearTable& action, const WriteUpdate& write) {
-  Table& table = tables_[action.table];
+  WeightTable& table = tables_[action.table];
   table.weights.clear();
   table.limits.clear();
   for (const auto& [proxy, classes] : table.proxies) write(proxy, TableCleared{action.table});
@@ -44,7 +44,7 @@
     proxies.erase(user);
     return true;
   });
-  Table& table = tables_[action.table];
+  WeightTable& table = tables_[action.table];
   table.proxies[action.proxy] |= classes;
   registered->second.insert(action.table);
 
--- a/src/assignments/assignment_tables.h
+++ b/src/assignments/assignment_tables.h
@@ -22,7 +22,7 @@
 };
 
 // A weight table that proxies share.
-struct Table {
+struct WeightTable {
   std::map<EndpointId, double> weights;
   std::map<ClassId, AdmissionLimit> limits;
   std::map<ProxyId, ClassMask> proxies;  // that use it, and for which classes
@@ -74,7 +74,7 @@
   void apply(const ExcludeEndpoint& action, const WriteUpdate& write);
   void apply(const SetAdmissionLimit& action, const WriteUpdate& write);
 
-  [[nodiscard]] const std::map<TableId, Table>& tables() const { return tables_; }
+  [[nodiscard]] const std::map<TableId, WeightTable>& tables() const { return tables_; }
   [[nodiscard]] const std::map<ClassId, AdmissionLimit>& limits_for_all_tables() const {
     return limits_for_all_tables_;
   }
@@ -87,7 +87,7 @@
 
  private:
   ClassMask all_classes_;
-  std::map<TableId, Table> tables_;
+  std::map<TableId, WeightTable> tables_;
   std::map<ProxyId, std::set<TableId>> tables_of_proxy_;  // of registered proxies
   std::set<EndpointId> excluded_;
   std::map<ClassId, AdmissionLimit> limits_for_all_tables_;
--- a/src/base/archive.h
+++ b/src/base/archive.h
@@ -37,7 +37,7 @@
     (put(values), ...);
   }
   // Moves the bytes out; the encoder is empty afterwards.
-  std::string take() { return std::move(out_); }
+  std::string release() { return std::move(out_); }
   [[nodiscard]] const std::string& bytes() const { return out_; }
 
  private:
@@ -108,24 +108,25 @@
     (get(values), ...);
   }
   [[nodiscard]] std::size_t offset() const { return at_; }
-  [[nodiscard]] std::size_t left() const { return bytes_.size() - at_; }
+  [[nodiscard]] std::size_t remaining() const { return bytes_.size() - at_; }
   // Throws DecodeError if bytes are left.
-  void end() const {
-    if (left() > 0) fail(std::to_string(left()) + " bytes too many");
+  void expect_end() const {
+    if (remaining() > 0) fail(std::to_string(remaining()) + " bytes too many");
   }
   // Throws DecodeError at the present offset, for a value that the caller finds impossible.
   [[noreturn]] void fail(const std::string& reason) const { throw DecodeError(at_, reason); }
 
  private:
   std::string_view raw(std::size_t size) {
-    if (size > left()) fail("ends " + std::to_string(size - left()) + " bytes early");
+    if (size > remaining()) fail("ends " + std::to_string(size - remaining()) + " bytes early");
     at_ += size;
     return bytes_.substr(at_ - size, size);
   }
   std::size_t count() {
     std::uint32_t n = 0;
     get(n);
-    if (n > left()) fail("a count of " + std::to_string(n) + " in " + std::to_string(left()) + " bytes");
+    if (n > remaining())
+      fail("a count of " + std::to_string(n) + " in " + std::to_string(remaining()) + " bytes");
     return n;
   }
   template <std::integral T>
--- a/src/base/clock_steps.h
+++ b/src/base/clock_step_detector.h
@@ -11,35 +11,35 @@
 
 namespace beamshunt::base {
 
-class ClockSteps {
+class ClockStepDetector {
  public:
   struct Step {
     Ms from = 0, to = 0;  // wall times of the looks between which it lies
-    Ms by = 0;            // forward; back is below 0
+    Ms offset = 0;        // forward; back is below 0
   };
 
   // A reading of the wall clock between two of the monotonic one. One that was held up between them tells
   // nothing.
-  void look(Ms before, Ms wall, Ms after) {
+  void sample(Ms before, Ms wall, Ms after) {
     if (after - before > kHeldUp) return;
     if (last_) {
-      Ms by = (wall - last_->wall) - (after - last_->monotonic);
-      if (std::abs(by) > kLeast) steps_.push_back({last_->wall, wall, by});
+      Ms offset = (wall - last_->wall) - (after - last_->monotonic);
+      if (std::abs(offset) > kLeast) steps_.push_back({last_->wall, wall, offset});
     }
     last_ = {wall, after};
   }
-  void look() {
+  void sample() {
     Ms before = monotonic_ms(), wall = wall_ms();
-    look(before, wall, monotonic_ms());
+    sample(before, wall, monotonic_ms());
   }
   const std::vector<Step>& steps() const { return steps_; }
 
   // How far the clock stepped forward between two stamps: the first was taken before a step, the second after
   // it.
-  Ms forward(Ms from, Ms to) const {
+  Ms forward_offset(Ms from, Ms to) const {
     Ms sum = 0;
     for (const Step& s : steps_)
-      if (s.by > 0 && from <= s.to - s.by && to >= s.from + s.by) sum += s.by;
+      if (s.offset > 0 && from <= s.to - s.offset && to >= s.from + s.offset) sum += s.offset;
     return sum;
   }
 
--- a/src/base/enums.h
+++ b/src/base/enums.h
@@ -7,6 +7,6 @@
 
 template <typename Enum>
 requires std::is_enum_v<Enum>
-constexpr auto raw(Enum value) { return static_cast<std::underlying_type_t<Enum>>(value); }
+constexpr auto to_underlying(Enum value) { return static_cast<std::underlying_type_t<Enum>>(value); }
 
 }  // namespace beamshunt::base
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -88,30 +88,30 @@
   sync_parent_folder(path);
 }
 
-std::string sealed(std::string_view payload) {
+std::string encode_record(std::string_view payload) {
   Encoder encoder;
   encoder(static_cast<std::uint32_t>(payload.size()),
           static_cast<std::uint64_t>(XXH3_64bits(payload.data(), payload.size())));
-  return encoder.take().append(payload);
+  return encoder.release().append(payload);
 }
 
-std::optional<std::string_view> unseal(std::string_view bytes, std::size_t& offset) {
-  if (bytes.size() - offset < kSealBytes) return std::nullopt;
-  Decoder seal(bytes.substr(offset, kSealBytes));
+std::optional<std::string_view> read_record(std::string_view bytes, std::size_t& offset) {
+  if (bytes.size() - offset < kRecordHeaderBytes) return std::nullopt;
+  Decoder seal(bytes.substr(offset, kRecordHeaderBytes));
   std::uint32_t size = 0;
   std::uint64_t checksum = 0;
   seal(size, checksum);
-  if (bytes.size() - offset - kSealBytes < size) return std::nullopt;
-  std::string_view payload = bytes.substr(offset + kSealBytes, size);
+  if (bytes.size() - offset - kRecordHeaderBytes < size) return std::nullopt;
+  std::string_view payload = bytes.substr(offset + kRecordHeaderBytes, size);
   if (XXH3_64bits(payload.data(), payload.size()) != checksum) return std::nullopt;
-  offset += kSealBytes + size;
+  offset += kRecordHeaderBytes + size;
   return payload;
 }
 
-std::optional<std::size_t> find_record_behind(std::string_view bytes, std::size_t offset) {
+std::optional<std::size_t> find_record_after(std::string_view bytes, std::size_t offset) {
   for (std::size_t candidate = offset + 1; candidate < bytes.size(); ++candidate) {
     std::size_t end = candidate;
-    if (unseal(bytes, end) && end > candidate + kSealBytes) return candidate;
+    if (read_record(bytes, end) && end > candidate + kRecordHeaderBytes) return candidate;
   }
   return std::nullopt;
 }
--- a/src/base/file.h
+++ b/src/base/file.h
@@ -29,18 +29,18 @@
 void replace_file(const std::string& path, std::string_view bytes);
 
 // Bytes before the payload of a sealed record: its length (4) and its XXH3 checksum (8).
-constexpr std::size_t kSealBytes = 12;
+constexpr std::size_t kRecordHeaderBytes = 12;
 
 // A record with its length and checksum before it, as state files and logs keep it.
-std::string sealed(std::string_view payload);
+std::string encode_record(std::string_view payload);
 
 // The payload of the sealed record at `offset` of `bytes`; `offset` moves behind the record. Nothing if the
 // rest is torn or damaged or if there is no rest; `offset` stays. The payload points into `bytes`.
-std::optional<std::string_view> unseal(std::string_view bytes, std::size_t& offset);
+std::optional<std::string_view> read_record(std::string_view bytes, std::size_t& offset);
 
-// The offset of the first whole, non-empty record that begins after `offset`, where unseal() has failed.
+// The offset of the first whole, non-empty record that begins after `offset`, where read_record() has failed.
 // Nothing if there is none: then the rest is the torn tail that a kill leaves in a log. If there is one, the
 // file is damaged in its middle, and reading on or cutting there would lose records in silence.
-std::optional<std::size_t> find_record_behind(std::string_view bytes, std::size_t offset);
+std::optional<std::size_t> find_record_after(std::string_view bytes, std::size_t offset);
 
 }  // namespace beamshunt::base
--- a/src/base/memory.h
+++ b/src/base/memory.h
@@ -7,7 +7,7 @@
 
 namespace beamshunt::base {
 
-inline std::size_t peak_memory_bytes() {  // resident, since the process began
+inline std::size_t peak_resident_bytes() {  // resident, since the process began
   rusage use{};
   getrusage(RUSAGE_SELF, &use);
   return static_cast<std::size_t>(use.ru_maxrss) * 1024;
--- a/src/channel/frames.cpp
+++ b/src/channel/frames.cpp
@@ -147,7 +147,7 @@
 std::string framed(std::size_t kind, const std::string& payload) {
   base::Encoder head;
   head(static_cast<std::uint32_t>(payload.size()), static_cast<std::uint8_t>(kind));
-  return head.take() + payload;
+  return head.release() + payload;
 }
 
 void Framing::push(std::string_view bytes) {
--- a/src/channel/frames.h
+++ b/src/channel/frames.h
@@ -221,7 +221,7 @@
     if (kind != K + 1) return decode_kind<Variant, K + 1>(kind, d);
     std::variant_alternative_t<K, Variant> frame;
     d(frame);
-    d.end();
+    d.expect_end();
     return frame;
   } else {
     d.fail("a frame of kind " + std::to_string(kind) + ", which is unknown");
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -419,7 +419,7 @@
       "{} events in {:.0f} ms; deciding took {:.1f} ms a second, one turn {:.1f} ms at most; memory at most "
       "{} "
       "MiB\n",
-      r.events, took, r.deciding / day.length * 1000, r.longest_decision, base::peak_memory_bytes() >> 20);
+      r.events, took, r.deciding / day.length * 1000, r.longest_decision, base::peak_resident_bytes() >> 20);
   for (const std::string& d : r.differences) fmt::print("flight record differs: {}\n", d);
   for (const std::string& line : r.refused) fmt::print("refused: {}\n", line);
   print_nearest(r.verdict);
--- a/src/config_stream/version_store.cpp
+++ b/src/config_stream/version_store.cpp
@@ -29,7 +29,7 @@
 std::string encode(const HistoryRecord& record) {
   base::Encoder encoder;
   encoder(kFormatVersion, record);
-  return base::sealed(encoder.bytes());
+  return base::encode_record(encoder.bytes());
 }
 
 // `begin`: of the record in the log.
@@ -42,7 +42,7 @@
       decoder.fail(fmt::format("a record of format {}, not {}", format, kFormatVersion));
     HistoryRecord record;
     decoder(record);
-    decoder.end();
+    decoder.expect_end();
     return record;
   } catch (const base::DecodeError& error) {
     throw StoreError(
@@ -57,9 +57,9 @@
   std::size_t offset = 0;
   while (offset < bytes.size()) {
     std::size_t begin = offset;
-    std::optional<std::string_view> payload = base::unseal(bytes, offset);
+    std::optional<std::string_view> payload = base::read_record(bytes, offset);
     if (!payload) {
-      if (std::optional<std::size_t> next = base::find_record_behind(bytes, begin))
+      if (std::optional<std::size_t> next = base::find_record_after(bytes, begin))
         throw StoreError(
             kLogFile, begin,
             fmt::format("{} is damaged at byte {}; whole records follow at {}", kLogFile, begin, *next));
--- a/src/day/player.cpp
+++ b/src/day/player.cpp
@@ -145,7 +145,7 @@
   }
 
   void watch_clock() {
-    clock_.look();
+    clock_.sample();
     after(kClockLook, [this] { watch_clock(); });
   }
   void open_receiver() {
@@ -161,7 +161,7 @@
 
   void wait_for_joins(Ms limit) {
     for (auto& [instance, locality] : day_.assigners)
-      if (processes_.at(instance)->ended())
+      if (processes_.at(instance)->has_exited())
         return fail(fmt::format("assigner {} ended: {}", instance, last_words(instance)));
     bool all = std::all_of(proxies_.begin(), proxies_.end(), [](auto& p) { return p.proxy->joined(); });
     if (!all && world_.now() < limit) return after(20, [this, limit] { wait_for_joins(limit); });
@@ -420,13 +420,13 @@
   // ---- The end ----
   void end() {
     for (ProxyRun& p : proxies_) p.proxy.reset();
-    for (auto& [instance, z] : day_.assigners) processes_.at(instance)->ask_to_stop();
+    for (auto& [instance, z] : day_.assigners) processes_.at(instance)->request_stop();
     await_stops(world_.now() + kStopWithin);
   }
   // The loop goes on meanwhile: the assigners' last figures have to be taken.
   void await_stops(Ms limit) {
     bool all = std::all_of(day_.assigners.begin(), day_.assigners.end(),
-                           [&](auto& a) { return processes_.at(a.first)->ended(); });
+                           [&](auto& a) { return processes_.at(a.first)->has_exited(); });
     if (!all && world_.now() < limit) return after(10, [this, limit] { await_stops(limit); });
     for (auto& [instance, z] : day_.assigners) {
       if (dead_.contains(instance)) continue;  // the day left it so
@@ -500,7 +500,7 @@
   std::set<std::uint32_t> dead_;  // killed and not started again
   std::vector<std::pair<std::int64_t, std::int64_t>>
       excused_;  // times without an assigner, by the wall clock
-  base::ClockSteps clock_;
+  base::ClockStepDetector clock_;
   std::size_t told_ = 0;
   Ms zero_ = 0;
   std::string failure_;
--- a/src/flight_record/describe.cpp
+++ b/src/flight_record/describe.cpp
@@ -10,7 +10,7 @@
 namespace beamshunt::flight_record {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 constexpr long kEvery = -1;  // in the text: not one table or peer but all
 
@@ -29,27 +29,28 @@
     return fmt::format("{} ms token {}", action.deadline.time_since_epoch().count(), action.token);
   }
   std::string operator()(const SendHealthCheck& action) const {
-    return fmt::format("endpoint {}", raw(action.endpoint));
+    return fmt::format("endpoint {}", to_underlying(action.endpoint));
   }
   std::string operator()(const SendPeerMessage& action) const {
     long peer = action.to_all_peers ? kEvery : static_cast<long>(action.peer);
     return fmt::format("{} {} bytes", peer, action.payload.size());
   }
   std::string operator()(const SetWeight& action) const {
-    return fmt::format("table {} endpoint {} weight {}", raw(action.table), raw(action.endpoint),
-                       action.weight);
+    return fmt::format("table {} endpoint {} weight {}", to_underlying(action.table),
+                       to_underlying(action.endpoint), action.weight);
   }
   std::string operator()(const ClearTable& action) const {
-    return fmt::format("table {}", raw(action.table));
+    return fmt::format("table {}", to_underlying(action.table));
   }
   std::string operator()(const AssignTable& action) const {
-    return fmt::format("proxy {} classes {} table {}", raw(action.proxy), action.classes, raw(action.table));
+    return fmt::format("proxy {} classes {} table {}", to_underlying(action.proxy), action.classes,
+                       to_underlying(action.table));
   }
   std::string operator()(const ExcludeEndpoint& action) const {
-    return fmt::format("endpoint {} {}", raw(action.endpoint), action.excluded);
+    return fmt::format("endpoint {} {}", to_underlying(action.endpoint), action.excluded);
   }
   std::string operator()(const SetAdmissionLimit& action) const {
-    long table = action.all_tables ? kEvery : static_cast<long>(raw(action.table));
+    long table = action.all_tables ? kEvery : static_cast<long>(to_underlying(action.table));
     return fmt::format("table {} classes {} level {} retry {}", table, action.classes, action.limit,
                        static_cast<int>(action.retry_mode));
   }
--- a/src/flight_record/replay.cpp
+++ b/src/flight_record/replay.cpp
@@ -22,7 +22,7 @@
 std::string encode_action(const Action& action) {
   base::Encoder encoder;
   encoder(action);
-  return encoder.take();
+  return encoder.release();
 }
 
 // The first action that differs, in words; empty if none does. Actions are the same if their bytes are: a
@@ -48,7 +48,7 @@
     std::size_t offset = 0;
     while (offset < file_.size() && result_.same()) {
       std::size_t begin = offset;
-      std::optional<std::string_view> payload = base::unseal(file_, offset);
+      std::optional<std::string_view> payload = base::read_record(file_, offset);
       if (!payload) {
         note_torn_tail(begin);
         break;
@@ -62,7 +62,7 @@
   // A kill while a record is written leaves a torn tail, which is no fault. Whole records behind the damage
   // show that it is none: the replay would pass over them in silence.
   void note_torn_tail(std::size_t begin) {
-    if (std::optional<std::size_t> next = base::find_record_behind(file_, begin))
+    if (std::optional<std::size_t> next = base::find_record_after(file_, begin))
       throw FlightRecordError(begin, 0,
                               fmt::format("damaged at offset {}; whole records follow at {}", begin, *next));
     result_.torn_at = begin;
@@ -97,7 +97,7 @@
     std::uint32_t number = 0;
     Settings settings;
     decoder(number, settings);
-    decoder.end();
+    decoder.expect_end();
     if (number == 0) {  // the process has started anew: its former controllers are gone
       controllers_.clear();
       ++result_.runs;
@@ -114,7 +114,7 @@
     std::uint64_t version = 0;
     std::uint64_t hash = 0;
     decoder(at, version, hash);
-    decoder.end();
+    decoder.expect_end();
     ++result_.config_changes;
   }
 
@@ -128,7 +128,7 @@
     std::vector<Event> events;
     std::vector<Action> recorded;
     decoder(now, events, recorded);
-    decoder.end();
+    decoder.expect_end();
     std::vector<Action> replayed = controller->second.handle(now, events);
     ++result_.batches;
     result_.events += events.size();
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-bool RepeatLimit::allow(const std::string& event, base::Ms now, std::uint64_t& suppressed) {
+bool EventRateLimiter::allow(const std::string& event, base::Ms now, std::uint64_t& suppressed) {
   Seen& seen = seen_[event];
   if (now - seen.second >= 1000) seen.second = now, seen.written = 0;
   if (seen.written >= most_) {
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -22,9 +22,9 @@
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
 // Lets the first lines of an event through in each second, then counts. Pure.
-class RepeatLimit {
+class EventRateLimiter {
  public:
-  explicit RepeatLimit(std::uint64_t most_a_second = 20) : most_(most_a_second) {}
+  explicit EventRateLimiter(std::uint64_t most_a_second = 20) : most_(most_a_second) {}
   // Whether a line of this event may be written now; `suppressed`: how many were not since the last one.
   bool allow(const std::string& event, base::Ms now, std::uint64_t& suppressed);
 
@@ -45,12 +45,12 @@
   // `file` empty: standard error. Throws std::runtime_error if the file can't be opened.
   Log(const std::string& file, Level least);
   ~Log();  // gives queued lines a moment to go out, and no more: nobody may be reading them
-  void least(Level level) { least_ = level; }
+  void set_min_level(Level level) { least_ = level; }
   void write(Level level, const std::string& event, const Fields& fields = {});
 
  private:
   Level least_;
-  RepeatLimit repeats_;
+  EventRateLimiter repeats_;
   std::shared_ptr<spdlog::logger> logger_;
   std::uint64_t posted_ = 0;
   std::shared_ptr<std::atomic<std::uint64_t>> written_;
--- a/src/measure/emulator.cpp
+++ b/src/measure/emulator.cpp
@@ -128,7 +128,7 @@
     double floor = ideal(3 * static_cast<std::size_t>(proxies), e.events);
     fmt::print("{},{},{:.0f},{:.0f},{:.0f},{:.3f},{}\n", servers, proxies,
                static_cast<double>(e.asked) / took, events, floor, events / floor,
-               base::peak_memory_bytes() >> 20);
+               base::peak_resident_bytes() >> 20);
   }
 }
 
--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -7,7 +7,7 @@
 namespace beamshunt::platform {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 // ms between two checks of all sessions' time-outs: short against each of them.
 constexpr Ms kTimeoutCheckInterval = 200;
@@ -35,7 +35,7 @@
 }
 
 log::Fields rejection_fields(ConnectionId id, const std::string& reason) {
-  return {{"connection", std::to_string(raw(id))}, {"reason", reason}};
+  return {{"connection", std::to_string(to_underlying(id))}, {"reason", reason}};
 }
 
 log::Fields malformed_fields(ConnectionId id, const ProtocolError& error) {
@@ -117,7 +117,7 @@
     const ProxyId proxy = session->registration().proxy;
     acks_.remove(id);
     outputs_.log(log::Level::info, "proxy_disconnected",
-                 {{"proxy", std::to_string(raw(proxy))}, {"reason", reason}});
+                 {{"proxy", std::to_string(to_underlying(proxy))}, {"reason", reason}});
     updates_.remove_proxy(proxy);
     outputs_.events.emplace_back(ProxyDisconnected{proxy});
   }
@@ -136,7 +136,7 @@
     reject(*surplus, "the locality has newer collectors");
   sessions_.register_collector(id, registration.locality);
   outputs_.log(log::Level::info, "collector_registered",
-               {{"locality", configuration_.names.localities[raw(registration.locality)]}});
+               {{"locality", configuration_.names.localities[to_underlying(registration.locality)]}});
 }
 
 void Core::handle(ConnectionId id, Session& session, const ProxyRegistration& registration, Ms) {
@@ -149,7 +149,8 @@
   }
   sessions_.register_proxy(id, registration);
   outputs_.log(log::Level::info, "proxy_registered",
-               {{"proxy", std::to_string(raw(registration.proxy))}, {"connection", std::to_string(raw(id))}});
+               {{"proxy", std::to_string(to_underlying(registration.proxy))},
+                {"connection", std::to_string(to_underlying(id))}});
   register_with_controller(registration);
 }
 
@@ -162,7 +163,7 @@
 void Core::handle(ConnectionId id, Session& session, const Ack& ack, Ms now) {
   if (session.role() != Session::Role::proxy || session.registration().proxy != ack.proxy)
     throw ProtocolError(ProtocolError::Scope::message, "an ack that is not of this stream's proxy",
-                        {"node", std::to_string(raw(ack.proxy)), "the stream's own proxy"});
+                        {"node", std::to_string(to_underlying(ack.proxy)), "the stream's own proxy"});
   switch (acks_.acknowledge(id, ack.nonce, now)) {
     case AckTracker::AckResult::acknowledged:
       return;
@@ -192,7 +193,7 @@
   require_registered(session);
   if (session.role() == Session::Role::proxy && session.registration().proxy != report.proxy)
     throw ProtocolError(ProtocolError::Scope::message, "a report of another proxy than this stream's",
-                        {"node", std::to_string(raw(report.proxy)), "the stream's own proxy"});
+                        {"node", std::to_string(to_underlying(report.proxy)), "the stream's own proxy"});
   ++counters_.reports;
   if (!sessions_.connection_of(report.proxy)) return;  // the controller does not know the proxy
   outputs_.events.emplace_back(DemandReport{report.proxy, report.request_class, report.arrivals,
--- a/src/platform/directory.cpp
+++ b/src/platform/directory.cpp
@@ -44,7 +44,7 @@
 
 std::optional<Locality> locality(const std::string& zone, const settings::Names& names) {
   try {
-    return settings::locality(names, zone);
+    return settings::find_locality(names, zone);
   } catch (const settings::InputError&) {
     return std::nullopt;
   }
--- a/src/platform/endpoint_view_log.cpp
+++ b/src/platform/endpoint_view_log.cpp
@@ -14,7 +14,7 @@
 const char* outcome_name(AttemptOutcome outcome) {
   constexpr const char* kNames[] = {"success",        "application_error", "rejected",  "timed_out",
                                     "connect_failed", "connection_lost",   "cancelled", "not_sent"};
-  return kNames[base::raw(outcome)];
+  return kNames[base::to_underlying(outcome)];
 }
 
 // The endpoint's share of the weights of all tables that proxies use.
@@ -59,7 +59,7 @@
         *directory.uid(endpoint.id),
         fmt::format("{} {}: {:.0f} attempts, {:.0f} failed, {:.0f} ms; weight share {:.2f}; health check {}, "
                     "utilization {:.2f}",
-                    names.localities[base::raw(endpoint.locality)],
+                    names.localities[base::to_underlying(endpoint.locality)],
                     endpoint.state == EndpointState::available ? "available" : "draining", view.attempts,
                     view.failed, successful > 0 ? view.total_latency / successful : 0,
                     weight_share(endpoint.id, tables), view.health_check_outcome, view.utilization));
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -96,7 +96,7 @@
   [[nodiscard]] Locality locality(const settings::Names& names) const {
     std::string name = text("locality");
     try {
-      return settings::locality(names, name);
+      return settings::find_locality(names, name);
     } catch (const settings::InputError& error) {
       fail_message(error.what(), {"locality", name, "a locality of the settings"});
     }
@@ -105,7 +105,7 @@
   [[nodiscard]] ClassId request_class(const settings::Names& names) const {
     std::string name = text("route");
     try {
-      return settings::request_class(names, name);
+      return settings::find_request_class(names, name);
     } catch (const settings::InputError& error) {
       fail_message(error.what(), {"route", name, "a class of the settings"});
     }
--- a/src/platform/update_writer.cpp
+++ b/src/platform/update_writer.cpp
@@ -12,7 +12,7 @@
 namespace beamshunt::platform {
 namespace {
 
-ClassMask mask_of(ClassId request_class) { return ClassMask{1} << base::raw(request_class); }
+ClassMask mask_of(ClassId request_class) { return ClassMask{1} << base::to_underlying(request_class); }
 
 // The part that may take one more update for exactly these classes, a new one if there is none. A proxy
 // applies parts in their order, so an update may not join a part before a later one that concerns one of the
--- a/src/process/child.cpp
+++ b/src/process/child.cpp
@@ -52,14 +52,14 @@
 }
 
 int Child::stop(double most_ms) {
-  ask_to_stop();
-  for (double limit = base::monotonic_ms() + most_ms; !ended() && base::monotonic_ms() < limit;)
+  request_stop();
+  for (double limit = base::monotonic_ms() + most_ms; !has_exited() && base::monotonic_ms() < limit;)
     ::usleep(2000);
   kill();
   return status_;
 }
 
-bool Child::ended() {
+bool Child::has_exited() {
   int status = 0;
   if (pid_ >= 0 && ::waitpid(pid_, &status, WNOHANG) == pid_) {
     pid_ = -1;
--- a/src/process/child.h
+++ b/src/process/child.h
@@ -19,12 +19,12 @@
   Child& operator=(const Child&) = delete;
 
   void signal(int number) const;
-  void ask_to_stop() const { signal(SIGTERM); }
+  void request_stop() const { signal(SIGTERM); }
   void kill();  // SIGKILL, and waits for its end
   // SIGTERM, and waits for at most `most_ms`: its exit status, or -1 if it had to be killed or was before. Of
   // one that has ended, the status it ended with.
   int stop(double most_ms);
-  bool ended();  // by itself
+  bool has_exited();  // by itself
   double cpu_seconds() const;
   double resident_kib() const;
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -145,10 +145,10 @@
 
 }  // namespace
 
-Locality locality(const Names& names, std::string_view name) {
+Locality find_locality(const Names& names, std::string_view name) {
   return find_name<Locality>(names.localities, "zone", name);
 }
-ClassId request_class(const Names& names, std::string_view name) {
+ClassId find_request_class(const Names& names, std::string_view name) {
   return find_name<ClassId>(names.classes, "class", name);
 }
 
@@ -175,7 +175,7 @@
   settings.localities = names.localities;
   settings.local_proxies_only =
       reader.count("balancers", kMaxCount) > 1 && reader.flag_or("family_info.by_zone", false);
-  settings.own_locality = locality(names, reader.text("locality"));
+  settings.own_locality = find_locality(names, reader.text("locality"));
   names.classes = read_classes(reader, settings);
   settings.endpoint_list_by_subscription =
       reader.choice<bool>("discovery", {{"on_request", true}, {"pushed", false}});
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -32,8 +32,8 @@
   std::vector<std::string> classes;
 };
 // The position of a name. Throws InputError for a name that is not among the settings.
-Locality locality(const Names& names, std::string_view name);
-ClassId request_class(const Names& names, std::string_view name);
+Locality find_locality(const Names& names, std::string_view name);
+ClassId find_request_class(const Names& names, std::string_view name);
 
 // Texts by path, such as "classes.0.slo".
 using Values = std::map<std::string, std::string>;
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -157,7 +157,7 @@
     endpoint.start_time_known = ready_at != 0;
     endpoint.start_time = clock_time(ready_at);
   }
-  endpoint.locality = settings::locality(names, line.text("site"));
+  endpoint.locality = settings::find_locality(names, line.text("site"));
   line.text("shape");  // the kind of machine; its capacity says what matters
   endpoint.state = parse_endpoint_state(line.text("state"));
   endpoint.capacity = line.absent("size") ? 1 : line.non_negative("size");
@@ -181,7 +181,7 @@
 
 Event read_endpoint_report(const Names& names, LineReader& line) {
   EndpointReport report;
-  report.source_locality = settings::locality(names, line.text("site"));
+  report.source_locality = settings::find_locality(names, line.text("site"));
   report.endpoint = read_endpoint(line);
   report.attempts = line.non_negative("many");
   report.failed = line.non_negative("unanswered");
@@ -194,7 +194,7 @@
 Event read_demand_report(const Names& names, LineReader& line) {
   DemandReport report;
   report.proxy = read_proxy(line);
-  report.request_class = settings::request_class(names, line.text("tier_class"));
+  report.request_class = settings::find_request_class(names, line.text("tier_class"));
   report.arrivals = line.non_negative("many");
   report.failed = line.non_negative("unanswered");
   report.interval = read_duration(line, "span");
@@ -222,7 +222,7 @@
 Event read_proxy_registered(const Names& names, LineReader& line) {
   ProxyRegistered registered;
   registered.proxy = read_proxy(line);
-  registered.locality = settings::locality(names, line.text("site"));
+  registered.locality = settings::find_locality(names, line.text("site"));
   registered.expected_rate = line.absent("size") ? 0 : line.non_negative("size");
   registered.only_static_tables = line.flag("flag");
   return registered;
@@ -242,7 +242,7 @@
   ShardDemandReport report;
   report.interval = read_duration(line, "span");
   report.failed = line.non_negative("unanswered");
-  report.request_class = settings::request_class(names, line.text("tier_class"));
+  report.request_class = settings::find_request_class(names, line.text("tier_class"));
   report.arrivals = line.non_negative("many");
   report.shard = read_table(line);
   return report;
--- a/src/standin/receiver.cpp
+++ b/src/standin/receiver.cpp
@@ -101,7 +101,7 @@
 
 std::vector<std::string> find_gaps(const alerts::Store& store, std::int64_t most_ms,
                                    const std::vector<std::pair<std::int64_t, std::int64_t>>& excused,
-                                   const base::ClockSteps& clock) {
+                                   const base::ClockStepDetector& clock) {
   std::vector<std::string> out;
   // An assigner's looks are those of its `up`: every other series of it must have each of them.
   std::map<std::string, std::vector<std::int64_t>> looks;
@@ -113,8 +113,8 @@
       std::int64_t from = times[k - 1], to = times[k];
       bool named = std::any_of(excused.begin(), excused.end(),
                                [&](auto& e) { return from <= e.second && to >= e.first; });
-      double apart =
-          static_cast<double>(to - from) - clock.forward(static_cast<double>(from), static_cast<double>(to));
+      double apart = static_cast<double>(to - from) -
+                     clock.forward_offset(static_cast<double>(from), static_cast<double>(to));
       if (apart > static_cast<double>(most_ms) && !named)
         out.push_back(fmt::format("assigner {}: nothing for {:.0f} ms", label_of(labels, "instance"), apart));
     }
--- a/src/standin/receiver.h
+++ b/src/standin/receiver.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "alerts/rules.h"
-#include "base/clock_steps.h"
+#include "base/clock_step_detector.h"
 #include "http/server.h"
 #include "standin/world.h"
 
@@ -59,6 +59,6 @@
 // stepped forward meanwhile is no time. One line for each gap.
 std::vector<std::string> find_gaps(const alerts::Store& store, std::int64_t most_ms,
                                    const std::vector<std::pair<std::int64_t, std::int64_t>>& excused,
-                                   const base::ClockSteps& clock);
+                                   const base::ClockStepDetector& clock);
 
 }  // namespace beamshunt::standin
--- a/src/telemetry/buffer.cpp
+++ b/src/telemetry/buffer.cpp
@@ -39,7 +39,7 @@
   base::Decoder decoder(payload);
   try {
     decoder(record);
-    decoder.end();
+    decoder.expect_end();
   } catch (const base::DecodeError&) {
     return std::nullopt;
   }
@@ -48,7 +48,7 @@
 
 // The next record of a segment's bytes; nothing at their end, and where they are torn or damaged.
 std::optional<Record> next_record(std::string_view bytes, std::size_t& offset) {
-  std::optional<std::string_view> payload = base::unseal(bytes, offset);
+  std::optional<std::string_view> payload = base::read_record(bytes, offset);
   return payload ? decode(*payload) : std::nullopt;
 }
 
@@ -96,7 +96,7 @@
   std::optional<std::string> saved = base::read_file(folder_ + kAcknowledgedFile);
   if (!saved) return;
   std::size_t offset = 0;
-  std::optional<std::string_view> payload = base::unseal(*saved, offset);
+  std::optional<std::string_view> payload = base::read_record(*saved, offset);
   // Damaged: from the oldest on. Sent twice is better than never, and the receiver drops what it has.
   if (!payload || payload->size() != kPositionBytes) return;
   base::Decoder decoder(*payload);
@@ -138,7 +138,7 @@
   }
   base::Encoder encoder;
   encoder(record);
-  bool written = write(segment, last->first, base::sealed(encoder.bytes()));
+  bool written = write(segment, last->first, base::encode_record(encoder.bytes()));
   if (written) {
     segment.scrapes.push_back({segment.bytes, scrape.at_ms, scrape.points.size()});
   } else {
@@ -194,7 +194,7 @@
   acknowledged_ = position;
   base::Encoder encoder;
   encoder(acknowledged_.segment, acknowledged_.offset);
-  base::replace_file(folder_ + kAcknowledgedFile, base::sealed(encoder.bytes()));
+  base::replace_file(folder_ + kAcknowledgedFile, base::encode_record(encoder.bytes()));
 }
 
 std::uint64_t Buffer::bytes() const {
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -4,8 +4,8 @@
 #include <gtest/gtest.h>
 
 #include "assigner/rig.h"
-#include "draw.h"
 #include "flight_record/replay.h"
+#include "seeded_random.h"
 
 namespace beamshunt::assigner::test {
 namespace {
@@ -298,7 +298,7 @@
 TEST(Core, KeepsItsWordThroughSeededFaults) {
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
     Rig rig;
-    beamshunt::test::Draw draw(seed);
+    beamshunt::test::SeededRandom draw(seed);
     rig.list(list_line("total", 1, {2, 4, 6, 8}));
     std::map<std::uint32_t, StreamId> streams;
     std::map<std::uint32_t, std::uint32_t> attempts;
--- a/tests/base/base_test.cpp
+++ b/tests/base/base_test.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 
 #include "base/archive.h"
-#include "base/clock_steps.h"
+#include "base/clock_step_detector.h"
 #include "base/file.h"
 
 namespace beamshunt::base {
@@ -35,7 +35,7 @@
   std::variant<int, std::string> v;
   std::vector<std::uint8_t> bytes;
   d(a, b, c, x, s, m, v, bytes);
-  d.end();
+  d.expect_end();
   EXPECT_EQ(a, 7);
   EXPECT_EQ(b, -3);
   EXPECT_TRUE(c);
@@ -70,16 +70,16 @@
 // The disk returns one changed byte, in the length, the checksum or the payload. The record is not read, and
 // the reader stays where it begins.
 TEST(Seal, EveryDamagedByteIsNoticed) {
-  std::string whole = sealed("some payload") + sealed("another");
+  std::string whole = encode_record("some payload") + encode_record("another");
   std::size_t offset = 0;
-  EXPECT_EQ(unseal(whole, offset), "some payload");
-  EXPECT_EQ(unseal(whole, offset), "another");
+  EXPECT_EQ(read_record(whole, offset), "some payload");
+  EXPECT_EQ(read_record(whole, offset), "another");
   EXPECT_EQ(offset, whole.size());
-  for (std::size_t k = 0; k < sealed("some payload").size(); ++k) {
+  for (std::size_t k = 0; k < encode_record("some payload").size(); ++k) {
     std::string damaged = whole;
     damaged[k] = static_cast<char>(damaged[k] ^ 0x10);
     offset = 0;
-    EXPECT_FALSE(unseal(damaged, offset)) << k;
+    EXPECT_FALSE(read_record(damaged, offset)) << k;
     EXPECT_EQ(offset, 0u);
   }
 }
@@ -107,41 +107,41 @@
 // A writer is killed at instants of its own. The file is at all times one of the versions it wrote, whole.
 TEST(File, SurvivesKillAtAnyInstant) {
   std::string path = scratch("killed");
-  replace_file(path, sealed("0"));
+  replace_file(path, encode_record("0"));
   for (int round = 0; round < 20; ++round) {
     pid_t child = ::fork();
     if (child == 0) {
       for (int k = 0;; ++k)
-        replace_file(path, sealed(std::string(static_cast<std::size_t>(k % 50) * 100, 'x')));
+        replace_file(path, encode_record(std::string(static_cast<std::size_t>(k % 50) * 100, 'x')));
     }
     ::usleep(static_cast<useconds_t>(500 + round * 777));
     ::kill(child, SIGKILL);
     ::waitpid(child, nullptr, 0);
     std::string whole = read_file(path).value_or("");
     std::size_t offset = 0;
-    ASSERT_TRUE(unseal(whole, offset)) << "round " << round;
+    ASSERT_TRUE(read_record(whole, offset)) << "round " << round;
     ASSERT_EQ(offset, whole.size());
   }
 }
 
 // A clock that steps is told from a process that is held up, whichever of its two readings is late.
-TEST(ClockSteps, AreToldFromALoopThatIsHeldUp) {
-  ClockSteps clock;
-  clock.look(0, 1000, 0);
-  clock.look(20, 1020, 20.1);
-  clock.look(900, 1900, 900);     // the loop was late: no step
-  clock.look(920, 1920, 1850);    // held up between its readings: tells nothing
-  clock.look(1870, 2870, 1870);   //
-  clock.look(1890, 48890, 1890);  // 46 s on
-  clock.look(1910, 48900, 1910);  // slewed
-  clock.look(1930, 47920, 1930);  // a second back
+TEST(ClockStepDetector, AreToldFromALoopThatIsHeldUp) {
+  ClockStepDetector clock;
+  clock.sample(0, 1000, 0);
+  clock.sample(20, 1020, 20.1);
+  clock.sample(900, 1900, 900);     // the loop was late: no step
+  clock.sample(920, 1920, 1850);    // held up between its readings: tells nothing
+  clock.sample(1870, 2870, 1870);   //
+  clock.sample(1890, 48890, 1890);  // 46 s on
+  clock.sample(1910, 48900, 1910);  // slewed
+  clock.sample(1930, 47920, 1930);  // a second back
   ASSERT_EQ(clock.steps().size(), 2u);
-  EXPECT_EQ(clock.steps()[0].by, 46000);
-  EXPECT_EQ(clock.steps()[1].by, -1000);
-  EXPECT_EQ(clock.forward(2800, 48950), 46000);
-  EXPECT_EQ(clock.forward(2880, 48880), 46000);  // both stamps within the two looks
-  EXPECT_EQ(clock.forward(48890, 49500), 0);     // after it
-  EXPECT_EQ(clock.forward(1000, 2870), 0);       // before it
+  EXPECT_EQ(clock.steps()[0].offset, 46000);
+  EXPECT_EQ(clock.steps()[1].offset, -1000);
+  EXPECT_EQ(clock.forward_offset(2800, 48950), 46000);
+  EXPECT_EQ(clock.forward_offset(2880, 48880), 46000);  // both stamps within the two looks
+  EXPECT_EQ(clock.forward_offset(48890, 49500), 0);     // after it
+  EXPECT_EQ(clock.forward_offset(1000, 2870), 0);       // before it
 }
 
 }  // namespace
--- a/tests/channel/frames_test.cpp
+++ b/tests/channel/frames_test.cpp
@@ -5,7 +5,7 @@
 
 #include <cmath>
 
-#include "draw.h"
+#include "seeded_random.h"
 
 namespace beamshunt::channel {
 namespace {
@@ -99,7 +99,7 @@
 TEST(Frames, MutatedStreamsAreParsedOrRefused) {
   std::string bytes;
   for (const Frame& f : one_of_each()) bytes += encode(f);
-  test::Draw draw(7);
+  test::SeededRandom draw(7);
   int refused = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string mutated = bytes;
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "draw.h"
+#include "seeded_random.h"
 
 namespace beamshunt::http {
 namespace {
@@ -98,7 +98,7 @@
   const std::string bytes =
       "POST /b HTTP/1.1\r\nhost: x\r\nContent-Length: 5\r\n\r\nhello"
       "POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwiki\r\n0\r\n\r\n";
-  test::Draw draw(3);
+  test::SeededRandom draw(3);
   for (int round = 0; round < 20000; ++round) {
     std::string mutated = bytes;
     for (std::size_t k = 0; k <= draw(4); ++k) {
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -19,7 +19,7 @@
 }
 
 TEST(Log, RepeatsAreLimitedByEventAndCounted) {
-  RepeatLimit limit(5);
+  EventRateLimiter limit(5);
   std::uint64_t suppressed = 0;
   int written = 0;
   for (int k = 0; k < 100; ++k) written += limit.allow("flood", 1000 + k, suppressed);
--- a/tests/platform/core_test.cpp
+++ b/tests/platform/core_test.cpp
@@ -3,8 +3,8 @@
 
 #include <gtest/gtest.h>
 
-#include "draw.h"
 #include "platform/rig.h"
+#include "seeded_random.h"
 
 namespace beamshunt::platform::test {
 namespace {
@@ -657,7 +657,7 @@
 // Hundreds of peers send random pieces of messages. None of it may close a sound stream or register more
 // proxies than were named.
 TEST(PlatformCore, RandomBytesInRandomPiecesNeverReachAnotherPeer) {
-  beamshunt::test::Draw draw(11);
+  beamshunt::test::SeededRandom draw(11);
   Rig rig;
   ConnectionId good = rig.join(0);
   const std::string kinds[] = {R"({"t":"probe"})",
--- a/tests/platform/message_test.cpp
+++ b/tests/platform/message_test.cpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "draw.h"
+#include "seeded_random.h"
 
 namespace beamshunt::platform {
 namespace {
@@ -94,7 +94,7 @@
   once.push(bytes);
   while (auto line = once.next()) whole.push_back(*line);
   ASSERT_EQ(whole.size(), 4u);
-  beamshunt::test::Draw draw(5);
+  beamshunt::test::SeededRandom draw(5);
   for (int round = 0; round < 50; ++round) {
     std::vector<std::string> pieces;
     LineReader reader(100);
--- a/tests/platform/service_test.cpp
+++ b/tests/platform/service_test.cpp
@@ -229,7 +229,7 @@
   until("that it waits", [&] {
     return base::read_file(folder + ".log").value_or("").find("address_in_use") != std::string::npos;
   });
-  EXPECT_FALSE(child->ended());
+  EXPECT_FALSE(child->has_exited());
   former.reset();
   until("alive", [&] { return alive(); });
 }
@@ -249,7 +249,7 @@
   until("a table", [&] { return proxy->holds("s-a"); });
   child->signal(SIGTERM);
   until(
-      "an end before SIGKILL may follow", [&] { return child->ended(); }, 700);
+      "an end before SIGKILL may follow", [&] { return child->has_exited(); }, 700);
   EXPECT_EQ(child->stop(0), 0);
 }
 
@@ -271,7 +271,7 @@
     }
     child->signal(SIGTERM);
     until(
-        "an end", [&] { return child->ended(); }, 700);
+        "an end", [&] { return child->has_exited(); }, 700);
     EXPECT_EQ(child->stop(0), 0) << k;
   }
 }
@@ -317,7 +317,7 @@
 TEST_F(PlatformProcess, WithoutAValidConfigurationItSaysWhyAndEnds) {
   configured["settings"]["family_info"].erase("agents");
   start();
-  until("an end", [&] { return child->ended(); });
+  until("an end", [&] { return child->has_exited(); });
   EXPECT_EQ(child->stop(0), 2);
   EXPECT_NE(base::read_file(folder + ".log").value_or("").find("family_info.agents is missing"),
             std::string::npos);
--- a/tests/draw.h
+++ b/tests/seeded_random.h
@@ -6,9 +6,9 @@
 
 namespace beamshunt::test {
 
-class Draw {
+class SeededRandom {
  public:
-  explicit Draw(std::uint32_t seed) : state_(seed) {}
+  explicit SeededRandom(std::uint32_t seed) : state_(seed) {}
   std::uint32_t operator()(std::size_t below) {
     state_ = state_ * 1664525 + 1013904223;
     return static_cast<std::uint32_t>((state_ >> 8) % below);
--- a/tests/standin/models_test.cpp
+++ b/tests/standin/models_test.cpp
@@ -171,9 +171,9 @@
 
 // All days of a machine whose clock was set 927 ms on found a gap of 1127 ms between looks 200 ms apart.
 TEST(FindGaps, AStepOfTheWallClockIsNoneAndALateLookIsOneBesideIt) {
-  base::ClockSteps steady, stepped;
-  stepped.look(0, 10000, 0);
-  stepped.look(20, 10947, 20);
+  base::ClockStepDetector steady, stepped;
+  stepped.sample(0, 10000, 0);
+  stepped.sample(20, 10947, 20);
   EXPECT_EQ(find_gaps(looks({9800, 10927}), 1000, {}, steady).size(), 1u);
   EXPECT_TRUE(find_gaps(looks({9800, 10927}), 1000, {}, stepped).empty());
   EXPECT_EQ(find_gaps(looks({9800, 11728}), 1000, {}, stepped).size(), 1u);  // 1001 ms without the step
--- a/tests/stored_data/stored_data_test.cpp
+++ b/tests/stored_data/stored_data_test.cpp
@@ -165,13 +165,13 @@
 TEST(StoredData, TheEpochIsRead) {
   std::string bytes = stored("epoch");
   std::size_t offset = 0;
-  auto payload = base::unseal(bytes, offset);
+  auto payload = base::read_record(bytes, offset);
   ASSERT_TRUE(payload);
   EXPECT_EQ(offset, bytes.size());
   std::uint64_t epoch = 0;
   base::Decoder decoder(*payload);
   decoder(epoch);
-  decoder.end();
+  decoder.expect_end();
   EXPECT_EQ(epoch, 2u);
 }
 
--- a/tests/telemetry/sender_test.cpp
+++ b/tests/telemetry/sender_test.cpp
@@ -5,7 +5,7 @@
 
 #include <map>
 
-#include "draw.h"
+#include "seeded_random.h"
 #include "telemetry/exporter.h"
 
 namespace beamshunt::telemetry {
@@ -158,7 +158,7 @@
              .batch_wait = 20,
              .max_backoff = 500,
              .seed = seed});
-    test::Draw draw(seed);
+    test::SeededRandom draw(seed);
     for (int k = 1; k <= 40; ++k) {
       s.give(k);
       s.run(s.now + 50, [&](auto&) -> int {
