--- a/src/native_protocol/frames.cpp
+++ b/src/native_protocol/frames.cpp
@@ -147,7 +147,7 @@
 std::string encode_frame(std::size_t kind, const std::string& payload) {
   base::Encoder head;
   head(static_cast<std::uint32_t>(payload.size()), static_cast<std::uint8_t>(kind));
-  return head.take() + payload;
+  return head.release() + payload;
 }
 
 void FrameSplitter::append(std::string_view bytes) {
