--- a/src/flight_record/codec.h
+++ b/src/flight_record/codec.h
@@ -73,7 +73,7 @@
   a(x.shard, x.assigned);
 }
 template <class A>
-void fields(A& a, ShardHeld& x) {
+void fields(A& a, ShardOwnerReported& x) {
   a(x.shard, x.endpoint, x.weight);
 }
 template <class A>
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -46,7 +46,7 @@
   void apply(const UpdateAcknowledged& event) { budget.acknowledge(event.proxy, event.sequence_number); }
   void apply(const SharedChannelUsage& event) { budget.apply(event, now); }
   void apply(const ShardAssigned& event) { shards.apply(event); }
-  void apply(const ShardHeld& event) { shards.apply(event); }
+  void apply(const ShardOwnerReported& event) { shards.apply(event); }
   void apply(const TimerFired& /*event*/) {}         // it only wakes: what is due goes by the time
   void apply(const PeerMessage& /*event*/) {}        // peers have no say yet
   void apply(const ShardDemandReport& /*event*/) {}  // nor has the load of shards
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -89,7 +89,7 @@
   bool assigned = false;
 };
 
-struct ShardHeld {  // an endpoint serves an assigned shard already
+struct ShardOwnerReported {  // an endpoint serves an assigned shard already
   TableId shard{};
   EndpointId endpoint{};
   double weight = 0;
@@ -104,6 +104,6 @@
 // The order is part of the flight record's format.
 using Event = std::variant<EndpointList, TimerFired, HealthCheckResult, PeerMessage, ProxyRegistered,
                            ProxyDisconnected, UpdateAcknowledged, EndpointReport, DemandReport,
-                           ShardDemandReport, ShardAssigned, ShardHeld, SharedChannelUsage>;
+                           ShardDemandReport, ShardAssigned, ShardOwnerReported, SharedChannelUsage>;
 
 }  // namespace beamshunt
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "policy/failure_evidence.h"
+#include "policy/failure_thresholds.h"
 #include "policy/smoothing.h"
 
 namespace beamshunt {
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <string>
 
-#include "policy/failure_evidence.h"
+#include "policy/failure_thresholds.h"
 
 namespace beamshunt {
 namespace {
--- a/src/policy/shard_assignment.cpp
+++ b/src/policy/shard_assignment.cpp
@@ -20,7 +20,7 @@
   if (event.assigned) shards_[event.shard];
 }
 
-void ShardAssignment::apply(const ShardHeld& event) {
+void ShardAssignment::apply(const ShardOwnerReported& event) {
   auto found = shards_.find(event.shard);
   if (found != shards_.end()) found->second.owners[event.endpoint] = event.weight;
 }
--- a/src/policy/shard_assignment.h
+++ b/src/policy/shard_assignment.h
@@ -27,7 +27,7 @@
   explicit ShardAssignment(const Settings& settings) : settings_(settings) {}
 
   void apply(const ShardAssigned& event);
-  void apply(const ShardHeld& event);
+  void apply(const ShardOwnerReported& event);
 
   // Removes owners that are gone and gives shards without one a new owner, as far as it is due.
   [[nodiscard]] std::vector<Action> assign_owners(const EndpointMap& endpoints, const SlowStart& slow_start,
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "policy/failure_evidence.h"
+#include "policy/failure_thresholds.h"
 
 namespace beamshunt {
 namespace {
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -256,7 +256,7 @@
 }
 
 Event read_shard_held(const Names&, LineReader& line) {
-  ShardHeld held;
+  ShardOwnerReported held;
   held.shard = read_table(line);
   held.endpoint = read_endpoint(line);
   held.weight = line.non_negative("size");
--- a/tests/flight_record/flight_record_test.cpp
+++ b/tests/flight_record/flight_record_test.cpp
@@ -3,14 +3,14 @@
 
 #include "flight_record/replay.h"
 #include "flight_record/writer.h"
-#include "policy/fleet.h"
+#include "policy/controller_harness.h"
 
 namespace beamshunt::flight_record {
 namespace {
 
 // A controller that is given a short life, and its record.
 struct Flight {
-  Settings settings = test::two_zone_settings();
+  Settings settings = test::two_locality_settings();
   Controller controller{settings};
   std::string file = encode_controller_start(settings);
   std::vector<std::size_t> ends{file.size()};
@@ -25,17 +25,17 @@
     return actions;
   }
   Flight() {
-    step({EndpointList{EndpointListKind::cached, {test::endpoint(1, 0), test::endpoint(2, 1)}}});
+    step({EndpointList{EndpointListKind::cached, {test::make_endpoint(1, 0), test::make_endpoint(2, 1)}}});
     step({ProxyRegistered{ProxyId{3}, Locality{0}, 5, true}, PeerMessage{1, {1, 2, 3}}, TimerFired{0},
           HealthCheckResult{EndpointId{1}, AttemptOutcome::timed_out, Duration(5), {{"utilization", 0.5}}},
           UpdateAcknowledged{ProxyId{3}, Duration(9), 1}, ShardAssigned{TableId{1}, true},
-          ShardHeld{TableId{1}, EndpointId{2}, 1},
+          ShardOwnerReported{TableId{1}, EndpointId{2}, 1},
           ShardDemandReport{TableId{1}, ClassId{0}, 1, 0, Duration(500)}});
     step({EndpointReport{
               Locality{0}, EndpointId{1}, 10, 1, Duration(20), Duration(500), {{"utilization", 0.4}}},
           DemandReport{ProxyId{3}, ClassId{0}, 9, 0, Duration(500)}});
-    step(
-        {EndpointList{EndpointListKind::incremental, {test::endpoint(4, 0)}}, ProxyDisconnected{ProxyId{3}}});
+    step({EndpointList{EndpointListKind::incremental, {test::make_endpoint(4, 0)}},
+          ProxyDisconnected{ProxyId{3}}});
   }
 };
 
--- a/tests/policy/fleet.h
+++ b/tests/policy/controller_harness.h
@@ -9,7 +9,7 @@
 
 using std::vector;
 
-inline Settings two_zone_settings() {
+inline Settings two_locality_settings() {
   Settings s;
   s.seed = 7;
   s.localities = {"east", "west"};
@@ -42,14 +42,14 @@
   return s;
 }
 
-inline ListedEndpoint endpoint(unsigned id, unsigned zone, double size = 2) {
+inline ListedEndpoint make_endpoint(unsigned id, unsigned zone, double size = 2) {
   return {.id = EndpointId(id), .locality = Locality(zone), .capacity = size};
 }
 
 // Drives one Controller by its timers and keeps what the orders so far amount to.
-class Fleet {
+class ControllerHarness {
  public:
-  explicit Fleet(const Settings& s, double origin = 50000)
+  explicit ControllerHarness(const Settings& s, double origin = 50000)
       : settings(s), controller(s), now(Duration(origin)) {}
 
   vector<Action> send(const vector<Event>& events) {
--- a/tests/policy/controller_test.cpp
+++ b/tests/policy/controller_test.cpp
@@ -6,20 +6,21 @@
 #include <numeric>
 #include <random>
 
-#include "policy/fleet.h"
+#include "policy/controller_harness.h"
 #include "policy/max_min_fairness.h"
 #include "simulator_adapter/codec.h"
 
 namespace beamshunt::test {
 namespace {
 
-const vector<ListedEndpoint> kFour = {endpoint(11, 0), endpoint(12, 0), endpoint(21, 1), endpoint(22, 1)};
+const vector<ListedEndpoint> kFour = {make_endpoint(11, 0), make_endpoint(12, 0), make_endpoint(21, 1),
+                                      make_endpoint(22, 1)};
 
 auto all_fine = [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, 100)}; };
 auto all_jammed = [](const ListedEndpoint& e) { return vector{heard(e, 20, 2, 3000)}; };
 
-Fleet running(Settings s = two_zone_settings(), vector<ListedEndpoint> entries = kFour) {
-  Fleet f(s);
+ControllerHarness running(Settings s = two_locality_settings(), vector<ListedEndpoint> entries = kFour) {
+  ControllerHarness f(s);
   f.start(entries);
   f.join(1, 0, 20);
   f.join(2, 1, 20);
@@ -28,8 +29,8 @@
 }
 
 // Two of three equal proxies are in the east: its load is over the mean and spills to the west.
-Fleet crowded_east() {
-  Fleet f(two_zone_settings());
+ControllerHarness crowded_east() {
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   f.join(1, 0, 20);
   f.join(2, 0, 20);
@@ -66,14 +67,14 @@
 
 // ---- The list ----
 TEST(List, SubscribesAtStartAndAgainAfterALossWithBackoff) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
-  EXPECT_EQ(Fleet::only<Subscribe>(f.last).size(), 1u);
-  EXPECT_TRUE(Fleet::only<Subscribe>(f.send({EndpointList{EndpointListKind::lost, {}}})).empty());
+  EXPECT_EQ(ControllerHarness::only<Subscribe>(f.last).size(), 1u);
+  EXPECT_TRUE(ControllerHarness::only<Subscribe>(f.send({EndpointList{EndpointListKind::lost, {}}})).empty());
   int asked = 0;
   for (int i = 0; i < 4; ++i) {
     f.period(all_fine);
-    asked += static_cast<int>(Fleet::only<Subscribe>(f.last).size());
+    asked += static_cast<int>(ControllerHarness::only<Subscribe>(f.last).size());
   }
   EXPECT_EQ(asked, 1);
 }
@@ -81,13 +82,13 @@
 TEST(List, ControllersThatLoseOneDiscoveryTogetherDoNotAskItTogether) {
   std::set<double> asked;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Settings s = two_zone_settings();
+    Settings s = two_locality_settings();
     s.seed = seed * 1000003;
-    Fleet f(s);
+    ControllerHarness f(s);
     f.start(kFour);
     f.send({EndpointList{EndpointListKind::lost, {}}});
     Time lost = f.now;
-    while (Fleet::only<Subscribe>(f.last).empty()) {
+    while (ControllerHarness::only<Subscribe>(f.last).empty()) {
       f.now += Duration(10);
       f.send({});
       ASSERT_LE((f.now - lost).count(), 1250) << "an eighth of must_ask_in";
@@ -99,33 +100,33 @@
 }
 
 TEST(List, NeverSitsPastMustAskInUnheard) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   Time asked = f.now;
   for (int i = 0; i < 60; ++i) {
     f.period(all_fine);
-    if (!Fleet::only<Subscribe>(f.last).empty()) asked = f.now;
+    if (!ControllerHarness::only<Subscribe>(f.last).empty()) asked = f.now;
     ASSERT_LT(f.now - asked, f.settings.subscription_lifetime);
   }
 }
 
 TEST(List, PushedListsAreNotAskedFor) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.endpoint_list_by_subscription = false;
   s.subscription_lifetime = Duration{};
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(kFour);
-  EXPECT_TRUE(Fleet::only<Subscribe>(f.last).empty());
+  EXPECT_TRUE(ControllerHarness::only<Subscribe>(f.last).empty());
   f.run(40, all_fine);
-  EXPECT_TRUE(Fleet::only<Subscribe>(f.last).empty());
+  EXPECT_TRUE(ControllerHarness::only<Subscribe>(f.last).empty());
 }
 
 // ---- Rule 3: drains ----
 TEST(Drain, ALineGoesInTheVeryReplyAndNeverComesBack) {
   for (EndpointState state : {EndpointState::draining, EndpointState::removed}) {
-    Fleet f = running();
+    ControllerHarness f = running();
     f.now += Duration(20);
-    ListedEndpoint gone = endpoint(11, 0);
+    ListedEndpoint gone = make_endpoint(11, 0);
     gone.state = state;
     f.send({EndpointList{EndpointListKind::incremental, {gone}}});
     EXPECT_EQ(f.line(1, 0, 11), 0);
@@ -142,11 +143,11 @@
 struct MassRejoin {
   static constexpr unsigned kProxies = 60;
   static Settings settings() {
-    Settings s = two_zone_settings();
+    Settings s = two_locality_settings();
     s.max_queued_lines = 300, s.proxy_count = kProxies;
     return s;
   }
-  Fleet f{settings()};
+  ControllerHarness f{settings()};
   std::deque<UpdateAcknowledged> channel;
   std::set<ProxyId> bound;
 
@@ -160,10 +161,10 @@
   void send(const vector<Event>& events) {
     f.send(events);
     std::set<ProxyId> reached;
-    if (!Fleet::only<SetWeight>(f.last).empty()) reached = bound;
-    for (const AssignTable& b : Fleet::only<AssignTable>(f.last))
+    if (!ControllerHarness::only<SetWeight>(f.last).empty()) reached = bound;
+    for (const AssignTable& b : ControllerHarness::only<AssignTable>(f.last))
       reached.insert(b.proxy), bound.insert(b.proxy);
-    for (const AckRequest& barrier : Fleet::only<AckRequest>(f.last))
+    for (const AckRequest& barrier : ControllerHarness::only<AckRequest>(f.last))
       for (ProxyId proxy : reached)
         channel.push_back({proxy, f.settings.update_delay, barrier.sequence_number});
   }
@@ -179,7 +180,7 @@
 };
 
 ListedEndpoint draining(unsigned id) {
-  ListedEndpoint e = endpoint(id, 0);
+  ListedEndpoint e = make_endpoint(id, 0);
   e.state = EndpointState::draining;
   return e;
 }
@@ -203,7 +204,7 @@
 TEST(Drain, LinesInThePlaceOfRemovedOnesWaitWhileProxiesWaitToBeBound) {
   MassRejoin r;
   for (int k = 0; k < 5; ++k) r.step();
-  r.list({draining(11), endpoint(13, 0), endpoint(14, 0)});
+  r.list({draining(11), make_endpoint(13, 0), make_endpoint(14, 0)});
   bool early = false;
   while (r.bound.size() < MassRejoin::kProxies && r.f.now < Time(Duration(90000))) {
     r.step();
@@ -220,31 +221,32 @@
 }
 
 TEST(Drain, AnEndpointMissingFromAWholeListIsGone) {
-  Fleet f = running();
-  f.send({EndpointList{EndpointListKind::complete, {endpoint(12, 0), endpoint(21, 1), endpoint(22, 1)}}});
+  ControllerHarness f = running();
+  f.send({EndpointList{EndpointListKind::complete,
+                       {make_endpoint(12, 0), make_endpoint(21, 1), make_endpoint(22, 1)}}});
   EXPECT_EQ(f.line(1, 0, 11), 0);
 }
 
 // ---- Rule 1: nobody left without a server ----
 TEST(NeverBare, TheLastSuspectEndpointStaysInTheTable) {
-  Fleet f(two_zone_settings());
-  f.start({endpoint(11, 0)});
+  ControllerHarness f(two_locality_settings());
+  f.start({make_endpoint(11, 0)});
   f.join(1, 0, 20);
   f.run(20, [](const ListedEndpoint& e) { return vector{heard(e, 10, 10, 0)}; });
   EXPECT_GT(f.line(1, 0, 11), 0);
 }
 
 TEST(NeverBare, ALocalityWithoutServersReachesAcross) {
-  Fleet f(two_zone_settings());
-  f.start({endpoint(21, 1)});
+  ControllerHarness f(two_locality_settings());
+  f.start({make_endpoint(21, 1)});
   f.join(1, 0, 20);
   EXPECT_GT(f.line(1, 0, 21), 0);
 }
 
 TEST(NeverBare, AHomeOnlyClassKeepsItsSuspectsRatherThanLeave) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.classes[1].local_only = true;
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(kFour);
   f.join(1, 0, 20);
   f.join(2, 1, 20);
@@ -259,25 +261,25 @@
 
 // ---- Binding ----
 TEST(Binding, ProxiesOfALocalityAndBandShareATableAndAreBoundOnceAStream) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   f.send({ProxyRegistered{ProxyId(1), Locality(0), 20, true},
           ProxyRegistered{ProxyId(2), Locality(0), 21, true},
           ProxyRegistered{ProxyId(3), Locality(0), 900, true},
           ProxyRegistered{ProxyId(4), Locality(1), 20, true}});
-  EXPECT_EQ(Fleet::only<AssignTable>(f.last).size(), 4u);
+  EXPECT_EQ(ControllerHarness::only<AssignTable>(f.last).size(), 4u);
   EXPECT_EQ(f.bound.at({1, 0}), f.bound.at({2, 0}));
   EXPECT_NE(f.bound.at({1, 0}), f.bound.at({3, 0}));
   EXPECT_NE(f.bound.at({1, 0}), f.bound.at({4, 0}));
   f.run(5, all_fine);
-  EXPECT_TRUE(Fleet::only<AssignTable>(f.last).empty());
+  EXPECT_TRUE(ControllerHarness::only<AssignTable>(f.last).empty());
   f.send({ProxyDisconnected{ProxyId(1)}});
   f.send({ProxyRegistered{ProxyId(1), Locality(0), 20, false}});
-  EXPECT_EQ(Fleet::only<AssignTable>(f.last).size(), 1u);
+  EXPECT_EQ(ControllerHarness::only<AssignTable>(f.last).size(), 1u);
 }
 
 TEST(Binding, AnUnknownUsualRateCountsAsAverage) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   f.join(1, 0, 900);
   f.join(2, 0, 0);
@@ -285,14 +287,14 @@
 }
 
 TEST(Binding, AProxyThatLeavesInTheBatchItJoinedIsNotBound) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   f.send({ProxyRegistered{ProxyId(1), Locality(0), 20, true}, ProxyDisconnected{ProxyId(1)}});
-  EXPECT_TRUE(Fleet::only<AssignTable>(f.last).empty());
+  EXPECT_TRUE(ControllerHarness::only<AssignTable>(f.last).empty());
 }
 
 TEST(Binding, WithoutAnyListYetAProxyKeepsWhatItHolds) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start({});
   f.join(1, 0, 20);
   f.run(3, [](const ListedEndpoint&) { return vector<EndpointReport>{}; });
@@ -303,14 +305,14 @@
 }
 
 TEST(Binding, LocalEndpointsComeFirst) {
-  Fleet f = running();
+  ControllerHarness f = running();
   EXPECT_GT(f.line(1, 0, 11), 0);
   EXPECT_EQ(f.line(1, 0, 21), 0);
   EXPECT_GT(f.line(2, 0, 21), 0);
 }
 
 TEST(Binding, AnOverloadedLocalityReachesAcross) {
-  Fleet f = crowded_east();
+  ControllerHarness f = crowded_east();
   EXPECT_GT(f.line(1, 0, 21), 0);
   EXPECT_LT(f.line(1, 0, 21), f.line(1, 0, 11));
   EXPECT_EQ(f.line(3, 0, 11), 0);
@@ -319,7 +321,7 @@
 // Found on a drawn day: proxies that rejoin after a cut counted as idle until their first report, so all they
 // brought stayed at home, on endpoints that had just started cold.
 TEST(Binding, AProxyNotHeardOfYetCountsByItsAnnouncedRate) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   f.send({ProxyRegistered{ProxyId(1), Locality(0), 200, true},
           ProxyRegistered{ProxyId(2), Locality(1), 20, true}});
@@ -328,26 +330,26 @@
 
 // ---- The BFAIR step ----
 TEST(Bfair, AClassNeverCutCarriesNoBindingLimit) {
-  Fleet f = running();
+  ControllerHarness f = running();
   EXPECT_GE(f.level(1, 0).limit, 1e5);
   EXPECT_GE(f.level(1, 1).limit, 1e5);
 }
 
 TEST(Bfair, CutsTheLargestClassFirstOnceAllQueue) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(8, all_jammed, 40, 10);
   EXPECT_LT(f.level(1, 0).limit, 80);   // came: 80 a second
   EXPECT_GE(f.level(1, 1).limit, 1e5);  // under its fair share
 }
 
 TEST(Bfair, ACutWaitsThreePeriodsAboveT) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(2, all_jammed, 40, 10);
   EXPECT_GE(f.level(1, 0).limit, 1e5);
 }
 
 TEST(Bfair, RatesComeBackAfterTheJamUntilTheyBindNobody) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(8, all_jammed, 40, 10);
   double cut = f.level(1, 0).limit;
   f.run(20, all_fine, 40, 10);
@@ -358,7 +360,7 @@
 
 // One paused server must not cut whole classes at proxies that never send there: its weight drains instead.
 TEST(Bfair, OneSlowServerIsDrainedNotCutFor) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(16,
         [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, e.id == EndpointId(11) ? 2500 : 100)}; });
   EXPECT_GE(f.level(1, 0).limit, 1e5);
@@ -367,7 +369,7 @@
 
 // The next cut waits until tries admitted after the last one can have ended, lest stale latencies cut again.
 TEST(Bfair, CutsAreALatencyApart) {
-  Fleet f = running();
+  ControllerHarness f = running();
   vector<Time> cuts;
   double before = f.level(1, 0).limit;
   for (int i = 0; i < 40; ++i) {
@@ -379,7 +381,7 @@
 }
 
 TEST(Bfair, BusyReportsThatShowIdleCoresStopACut) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(
       10,
       [](const ListedEndpoint& e) {
@@ -392,7 +394,7 @@
 }
 
 TEST(Bfair, ABandsPartIsSplitToARateAtEachProxy) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   f.join(1, 0, 20);
   f.join(2, 1, 20);
@@ -407,13 +409,14 @@
 
 // Found by a rule hunt: a level below 0 was sent for the first proxy of a band that joined under a cut.
 TEST(Bfair, ABandThatBeginsUnderACutGetsALegalLevel) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(8, all_jammed, 40, 10);
   ASSERT_LT(f.level(1, 0).limit, 80);
   f.join(3, 0, 2000);
   f.join(4, 1, 0.01);
   for (int i = 0; i < 10; ++i) {
-    for (const SetAdmissionLimit& a : Fleet::only<SetAdmissionLimit>(f.last)) ASSERT_GE(a.limit, 0);
+    for (const SetAdmissionLimit& a : ControllerHarness::only<SetAdmissionLimit>(f.last))
+      ASSERT_GE(a.limit, 0);
     f.period(all_jammed, 40, 10);
   }
   EXPECT_GE(f.level(3, 0).limit, 0);
@@ -421,9 +424,9 @@
 }
 
 TEST(Bfair, ShareSitesGetAShare) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.admission_limit_kind = AdmissionLimitKind::share;
-  Fleet f = running(s);
+  ControllerHarness f = running(s);
   EXPECT_EQ(f.level(1, 0).limit, 1);
   f.run(8, all_jammed, 40, 10);
   EXPECT_LT(f.level(1, 0).limit, 1);
@@ -432,7 +435,7 @@
 
 // ---- The weight step ----
 TEST(Weights, AFadingNudgeForgetsALuckyBaseline) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(10,
         [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, e.id == EndpointId(11) ? 400 : 100)}; });
   double drained = f.line(1, 0, 11);
@@ -442,7 +445,7 @@
 }
 
 TEST(Weights, AWrongListedSizeIsLearnedFromLoadReports) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(60, [](const ListedEndpoint& e) {
     EndpointReport h = heard(e, 20, 0, 100);
     h.load = {{"utilization", e.id == EndpointId(11) ? 0.8 : 0.4}};
@@ -454,9 +457,9 @@
 // Endpoints of one listed size are worth the same part of it more often than not: what all of them report is
 // known within seconds, and holds for one that has only just come.
 TEST(Weights, WhatAListedSizeIsWorthIsLearnedTogetherAndHoldsForNewcomers) {
-  Fleet f(two_zone_settings());
-  f.start(
-      {endpoint(11, 0, 4), endpoint(12, 0, 4), endpoint(13, 0, 3), endpoint(14, 0, 3), endpoint(21, 1, 4)});
+  ControllerHarness f(two_locality_settings());
+  f.start({make_endpoint(11, 0, 4), make_endpoint(12, 0, 4), make_endpoint(13, 0, 3), make_endpoint(14, 0, 3),
+           make_endpoint(21, 1, 4)});
   f.join(1, 0, 20);
   f.run(16, [](const ListedEndpoint& e) {
     EndpointReport h = heard(e, 20, 0, 100);
@@ -466,14 +469,14 @@
   double worth = f.line(1, 0, 13) / f.line(1, 0, 11);  // listed as 3 to 4, and half of that by the reports
   EXPECT_LT(worth, 0.55);
   EXPECT_GT(worth, 0.3);
-  f.listed.push_back(endpoint(15, 0, 3));
+  f.listed.push_back(make_endpoint(15, 0, 3));
   f.send({EndpointList{EndpointListKind::incremental, {f.listed.back()}}});
   EXPECT_LT(f.line(1, 0, 15), 0.65 * f.line(1, 0, 11));
 }
 
 // Behind a cut the last report stays while the load heard of fades: that is no loss of speed.
 TEST(Weights, AnOldLoadReportSaysNothingOfSpeed) {
-  Fleet f = running();
+  ControllerHarness f = running();
   auto reporting = [](const ListedEndpoint& e) {
     EndpointReport h = heard(e, 20, 0, 100);
     h.load = {{"utilization", 0.5}};
@@ -494,14 +497,14 @@
 };
 
 TEST(Health, ADeadServerIsEjectedAndProbed) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(4, server_fails);
   EXPECT_EQ(f.line(1, 0, 11), 0);
   f.run(2, server_fails);
   bool probed = false;
   for (int i = 0; i < 3; ++i) {
     f.period(server_fails);
-    for (const SendHealthCheck& p : Fleet::only<SendHealthCheck>(f.last))
+    for (const SendHealthCheck& p : ControllerHarness::only<SendHealthCheck>(f.last))
       probed |= p.endpoint == EndpointId(11);
   }
   EXPECT_TRUE(probed);
@@ -509,8 +512,9 @@
 
 // One failed try in each second fades before three are counted: such a server was kept for good.
 TEST(Health, AServerThatFailsAllOfItsFewTriesIsEjectedAndOneThatAnswersSomeIsNot) {
-  Fleet fleet(two_zone_settings());
-  fleet.start({endpoint(1, 0), endpoint(2, 0), endpoint(3, 0), endpoint(4, 0), endpoint(5, 1)});
+  ControllerHarness fleet(two_locality_settings());
+  fleet.start({make_endpoint(1, 0), make_endpoint(2, 0), make_endpoint(3, 0), make_endpoint(4, 0),
+               make_endpoint(5, 1)});
   fleet.join(1, 0, 8);
   fleet.run(20, [&](const ListedEndpoint& e) { return vector{heard(e, 4, 0, 100)}; });
   int k = 0;
@@ -533,7 +537,7 @@
 // used.
 TEST(Health, WhoIsLongGoneIsForgottenAndWhoComesBackAtOnceIsNot) {
   for (bool at_once : {true, false}) {
-    Fleet f = running();
+    ControllerHarness f = running();
     f.run(8, server_fails);
     ASSERT_EQ(f.line(1, 0, 11), 0);
     ListedEndpoint gone = f.listed[0];
@@ -550,7 +554,7 @@
 }
 
 TEST(Health, ReturnsByAnsweredProbesAndEasesIn) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(4, server_fails);
   ASSERT_EQ(f.line(1, 0, 11), 0);
   auto quiet_there = [](const ListedEndpoint& e) {
@@ -566,7 +570,7 @@
 }
 
 TEST(Health, AServerAnsweringErrorsQuicklyIsDrainedNotTakenForIdle) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(8,
         [](const ListedEndpoint& e) { return vector{heard(e, 20, e.id == EndpointId(11) ? 12 : 0, 100)}; });
   EXPECT_LT(f.line(1, 0, 11), 0.7 * f.line(1, 0, 12));
@@ -574,7 +578,7 @@
 
 // A vanished server's tries end late, at their time-outs: unanswered probes tell sooner.
 TEST(Health, AServerThatAnswersNeitherProbesNorTriesIsEjected) {
-  Fleet f = running();
+  ControllerHarness f = running();
   for (int i = 0; i < 4; ++i) {
     f.send({HealthCheckResult{EndpointId(11), AttemptOutcome::timed_out, Duration(400), {}},
             HealthCheckResult{EndpointId(12), AttemptOutcome::success, Duration(5), {}}});
@@ -587,7 +591,7 @@
 
 // When no probe comes back from a whole locality it is the way that is cut, not its servers that are gone.
 TEST(Health, UnansweredProbesOfAWholeLocalityEjectNobody) {
-  Fleet f = running();
+  ControllerHarness f = running();
   for (int i = 0; i < 6; ++i) {
     f.send({HealthCheckResult{EndpointId(21), AttemptOutcome::timed_out, Duration(400), {}},
             HealthCheckResult{EndpointId(22), AttemptOutcome::timed_out, Duration(400), {}}});
@@ -601,14 +605,14 @@
 
 // What fails everywhere has a common cause: ejecting would only pile the load on fewer.
 TEST(Health, NobodyIsEjectedWhenAllFailAlike) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(20, [](const ListedEndpoint& e) { return vector{heard(e, 20, 19, 100)}; });
   EXPECT_GT(f.line(1, 0, 11), 0);
   EXPECT_GT(f.line(1, 0, 12), 0);
 }
 
 TEST(Health, APathFaultEjectsForItsOwnSideOnly) {
-  Fleet f = crowded_east();
+  ControllerHarness f = crowded_east();
   auto cut_between = [](const ListedEndpoint& e) {
     vector<EndpointReport> h = {heard(e, 40, 0, 100)};
     if (e.id == EndpointId(21)) {  // the east's proxies fail there, the west's do not
@@ -625,8 +629,8 @@
 
 TEST(Health, ThePanicThresholdKeepsPartOfTheFleet) {
   vector<ListedEndpoint> many;
-  for (unsigned i = 1; i <= 10; ++i) many.push_back(endpoint(i, 0));
-  Fleet f(two_zone_settings());
+  for (unsigned i = 1; i <= 10; ++i) many.push_back(make_endpoint(i, 0));
+  ControllerHarness f(two_locality_settings());
   f.start(many);
   f.join(1, 0, 20);
   f.run(12, all_fine);
@@ -640,8 +644,8 @@
 
 // ---- Rule 4: cold servers ----
 TEST(ColdStart, WorkFollowsTheGuaranteedCapacity) {
-  Fleet f = running();
-  ListedEndpoint fresh = endpoint(11, 0);
+  ControllerHarness f = running();
+  ListedEndpoint fresh = make_endpoint(11, 0);
   fresh.start_time = f.now;
   fresh.start_time_known = true;
   f.send({EndpointList{EndpointListKind::incremental, {fresh}}});
@@ -654,9 +658,9 @@
 }
 
 TEST(ColdStart, NoColdServerIsUsedWhileTheFleetFails) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(8, [](const ListedEndpoint& e) { return vector{heard(e, 20, 14, 800)}; });
-  ListedEndpoint fresh = endpoint(11, 0);
+  ListedEndpoint fresh = make_endpoint(11, 0);
   fresh.start_time = f.now;
   fresh.start_time_known = true;
   f.send({EndpointList{EndpointListKind::incremental, {fresh}}});
@@ -667,7 +671,7 @@
 // Each serves 20 tries a second at half of what it can do. Those of a stopped controller come here at once,
 // and reports of it come seconds later: a cold endpoint's part of the load is to stay what it can do.
 TEST(ColdStart, WhatJoinsAndWhatTheListTakesAwayCountBeforeAnyTryFails) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   f.start(kFour);
   f.join(1, 0, 20);
   f.join(2, 1, 20);
@@ -677,7 +681,7 @@
     return vector{h};
   };
   f.run(12, half_full, 20, 0);
-  ListedEndpoint fresh = endpoint(11, 0);
+  ListedEndpoint fresh = make_endpoint(11, 0);
   fresh.start_time = f.now;
   fresh.start_time_known = true;
   f.send({EndpointList{EndpointListKind::incremental, {fresh}}});
@@ -687,7 +691,7 @@
   f.now += f.settings.report_period;
   f.send({TimerFired{}});
   EXPECT_LE(f.line(4, 0, 11) / f.line(4, 0, 12), 0.3 * calm) << "720/s come, 120 can be done";
-  ListedEndpoint drains = endpoint(22, 1);
+  ListedEndpoint drains = make_endpoint(22, 1);
   drains.state = EndpointState::draining;
   f.send({EndpointList{EndpointListKind::incremental, {drains}}});
   EXPECT_LE(f.line(4, 0, 11) / f.line(4, 0, 12), 0.2 * calm);
@@ -695,7 +699,7 @@
 
 // A controller that starts into a jam has heard of no calm: cold servers wait for the first reports.
 TEST(ColdStart, AControllerJustStartedSparesColdServers) {
-  Fleet f(two_zone_settings());
+  ControllerHarness f(two_locality_settings());
   vector<ListedEndpoint> entries = kFour;
   entries[0].start_time = f.now;
   entries[0].start_time_known = true;
@@ -706,9 +710,9 @@
 }
 
 TEST(ColdStart, AHomeOnlyClassIsLimitedWhileItsWholeLocalityIsCold) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.classes[1].local_only = true;
-  Fleet f(s);
+  ControllerHarness f(s);
   vector<ListedEndpoint> entries = kFour;
   for (int i : {0, 1}) entries[i].start_time = f.now, entries[i].start_time_known = true;
   f.start(entries);
@@ -725,14 +729,14 @@
 // The list tells of one endpoint seconds before the rest: the whole locality's work would come to it.
 TEST(ColdStart, AHomeOnlyClassIsLimitedToWhatIsBackOfItsLocality) {
   for (AdmissionLimitKind kind : {AdmissionLimitKind::rate, AdmissionLimitKind::share}) {
-    Settings s = two_zone_settings();
+    Settings s = two_locality_settings();
     s.classes[1].local_only = true;
     s.admission_limit_kind = kind;
     double open = kind == AdmissionLimitKind::rate ? 1e5 : 1,
            usual = kind == AdmissionLimitKind::rate ? 10 : 1;
     vector<ListedEndpoint> entries = kFour;
-    for (unsigned id : {13, 14, 15}) entries.push_back(endpoint(id, 0));
-    Fleet f = running(s, entries);
+    for (unsigned id : {13, 14, 15}) entries.push_back(make_endpoint(id, 0));
+    ControllerHarness f = running(s, entries);
     auto east = [](const ListedEndpoint& e) { return e.locality == Locality(0); };
     auto set_state = [&](EndpointState state) {
       for (ListedEndpoint& e : f.listed)
@@ -757,11 +761,11 @@
 // Only the classes that are free can leave a locality: where others stay at home, all that is over has to be
 // theirs.
 TEST(ColdStart, TheFirstOfALocalityToComeBackGetsNoMoreOfTheFreeClassesThanItsPart) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.classes[1].local_only = true;
   vector<ListedEndpoint> entries = kFour;
-  for (unsigned id : {13, 14, 23, 24}) entries.push_back(endpoint(id, id / 10 - 1));
-  Fleet f = running(s, entries);
+  for (unsigned id : {13, 14, 23, 24}) entries.push_back(make_endpoint(id, id / 10 - 1));
+  ControllerHarness f = running(s, entries);
   auto west_alone = [](const ListedEndpoint& e) {
     return e.locality == Locality(0) ? vector<EndpointReport>{} : vector{heard(e, 20, 0, 100)};
   };
@@ -779,10 +783,10 @@
 }
 
 TEST(ColdStart, ARestartUnderTheSameIdForgetsItsHealth) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(4, server_fails);
   ASSERT_EQ(f.line(1, 0, 11), 0);
-  ListedEndpoint fresh = endpoint(11, 0);
+  ListedEndpoint fresh = make_endpoint(11, 0);
   fresh.start_time = f.now;
   fresh.start_time_known = true;
   f.listed[0] = fresh;
@@ -793,13 +797,13 @@
 
 // ---- Rule 2: retries ----
 TEST(Retries, OnlySafeClassesRepeatWithoutProof) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.classes.push_back({.latency_objective = Duration(1000),
                        .deadline = Duration(4000),
                        .idempotency_window = Duration(3000),
                        .semantics = Semantics::idempotent_with_key,
                        .idempotency_scope = IdempotencyScope::cell});
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(kFour);
   f.join(1, 0, 20);
   for (int i = 0; i < 100; ++i) {
@@ -811,7 +815,7 @@
 }
 
 TEST(Retries, NoStormUnderOverload) {
-  Fleet f = running();
+  ControllerHarness f = running();
   EXPECT_EQ(f.level(1, 0).retry_mode, RetryMode::once);
   f.run(8, all_jammed, 40, 10);
   EXPECT_LE(f.level(1, 0).retry_mode, RetryMode::if_not_processed);
@@ -822,9 +826,9 @@
 
 TEST(Retries, AFreshControllerAllowsNoMoreThanIsUsual) {
   for (RetryMode usual : {RetryMode::never, RetryMode::if_not_processed, RetryMode::twice}) {
-    Settings s = two_zone_settings();
+    Settings s = two_locality_settings();
     s.default_retry_mode = usual;
-    Fleet f(s);
+    ControllerHarness f(s);
     f.start(kFour);
     f.join(1, 0, 20);
     EXPECT_EQ(f.level(1, 1).retry_mode, std::min(usual, RetryMode::if_not_processed));
@@ -833,9 +837,9 @@
 
 // ---- Rule 5: the pace of orders ----
 TEST(Pace, MessagesToAProxyStayWithinTheSpan) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.max_messages_per_window = 12;
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(kFour);
   f.join(1, 0, 20);
   f.join(2, 1, 20);
@@ -855,20 +859,20 @@
 }
 
 TEST(Pace, NothingOrdinaryIsSentWhileTheChannelIsBehind) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.max_queued_lines = 40;
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(kFour);
   for (unsigned p = 1; p <= 4; ++p) f.join(p, p % 2, 20);
   for (int i = 0; i < 20; ++i) {
     f.now += s.report_period;  // nothing is confirmed: the channel is stuck
     f.send({TimerFired{}});
-    ASSERT_TRUE(Fleet::only<SetAdmissionLimit>(f.last).empty());
+    ASSERT_TRUE(ControllerHarness::only<SetAdmissionLimit>(f.last).empty());
   }
 }
 
 TEST(Pace, NoUselessLines) {
-  Fleet f = running();
+  ControllerHarness f = running();
   f.run(30, all_fine);
   int before = f.messages[1];
   f.run(30, all_fine);
@@ -877,7 +881,7 @@
 
 // ---- Slices ----
 Settings slice_settings(bool single_writer) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.shard_count = 4;
   s.single_writer = single_writer;
   s.lease = Duration(2500);
@@ -886,43 +890,43 @@
 }
 
 TEST(Slices, ASliceWithoutAnOpenEndpointGetsOne) {
-  Fleet f(slice_settings(false));
+  ControllerHarness f(slice_settings(false));
   f.start(kFour);
-  f.send({ShardAssigned{TableId(3), true}, ShardHeld{TableId(3), EndpointId(11), 1}});
-  EXPECT_TRUE(Fleet::only<SetWeight>(f.last).empty());
-  ListedEndpoint gone = endpoint(11, 0);
+  f.send({ShardAssigned{TableId(3), true}, ShardOwnerReported{TableId(3), EndpointId(11), 1}});
+  EXPECT_TRUE(ControllerHarness::only<SetWeight>(f.last).empty());
+  ListedEndpoint gone = make_endpoint(11, 0);
   gone.state = EndpointState::draining;
   f.send({EndpointList{EndpointListKind::incremental, {gone}}});
   EXPECT_EQ(f.tables[TableId(3)].size(), 1u);
   EXPECT_FALSE(f.tables[TableId(3)].contains(EndpointId(11)));
-  EXPECT_TRUE(Fleet::only<AssignTable>(f.last).empty());
+  EXPECT_TRUE(ControllerHarness::only<AssignTable>(f.last).empty());
 }
 
 TEST(Slices, ASingleWriterSliceStopsAndSettlesBeforeItMoves) {
-  Fleet f(slice_settings(true));
+  ControllerHarness f(slice_settings(true));
   f.start(kFour);
-  f.send({ShardAssigned{TableId(3), true}, ShardHeld{TableId(3), EndpointId(11), 1}});
-  ListedEndpoint gone = endpoint(11, 0);
+  f.send({ShardAssigned{TableId(3), true}, ShardOwnerReported{TableId(3), EndpointId(11), 1}});
+  ListedEndpoint gone = make_endpoint(11, 0);
   gone.state = EndpointState::removed;
   f.send({EndpointList{EndpointListKind::incremental, {gone}}});
-  auto stops = Fleet::only<SetAdmissionLimit>(f.last);
+  auto stops = ControllerHarness::only<SetAdmissionLimit>(f.last);
   ASSERT_EQ(stops.size(), 1u);
   EXPECT_EQ(stops[0].limit, 0);
   Time stopped = f.now;
-  while (Fleet::only<SetWeight>(f.last).empty() && f.now - stopped < Duration(20000)) {
+  while (ControllerHarness::only<SetWeight>(f.last).empty() && f.now - stopped < Duration(20000)) {
     f.now += f.settings.report_period;
     f.send({TimerFired{}});
   }
   EXPECT_GE(f.now - stopped, Duration(8000));
-  ASSERT_EQ(Fleet::only<SetAdmissionLimit>(f.last).size(), 1u);
-  EXPECT_GT(Fleet::only<SetAdmissionLimit>(f.last)[0].limit, 0);
+  ASSERT_EQ(ControllerHarness::only<SetAdmissionLimit>(f.last).size(), 1u);
+  EXPECT_GT(ControllerHarness::only<SetAdmissionLimit>(f.last)[0].limit, 0);
 }
 
 // A slice that opens again must not order repeats that its classes can't bear, whatever is usual.
 TEST(Slices, AMovedSliceRepeatsNothingWithoutProof) {
   Settings s = slice_settings(true);
   s.default_retry_mode = RetryMode::twice;
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(kFour);
   f.send({ShardAssigned{TableId(3), true}});
   for (int i = 0; i < 60; ++i) {
@@ -934,7 +938,7 @@
 }
 
 TEST(Slices, ColdEndpointsServeWhenAllAreCold) {
-  Fleet f(slice_settings(false));
+  ControllerHarness f(slice_settings(false));
   vector<ListedEndpoint> entries = kFour;
   for (ListedEndpoint& e : entries) e.start_time = f.now, e.start_time_known = true;
   f.start(entries);
@@ -948,7 +952,7 @@
 // ---- Determinism ----
 TEST(Determinism, SameEventsSameActionsWhateverTheClocksOrigin) {
   auto play = [](double origin) {
-    Fleet f(two_zone_settings(), origin);
+    ControllerHarness f(two_locality_settings(), origin);
     f.start(kFour);
     f.join(1, 0, 20);
     f.join(2, 1, 20);
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "policy/fleet.h"
+#include "policy/controller_harness.h"
 
 namespace beamshunt::test {
 namespace {
@@ -18,7 +18,7 @@
   EndpointMap endpoints;
   for (unsigned id : {11, 12, 13}) {
     Endpoint& added = endpoints[EndpointId(id)];
-    added.listed = endpoint(id, 0);
+    added.listed = make_endpoint(id, 0);
     Path& path = added.paths[kEast];
     path.succeeded = 50;
     path.last_report = kNow;
@@ -40,7 +40,7 @@
   std::vector<LogMessage> judge(Time now = kNow) { return detector.judge(kEast, endpoints, kInterval, now); }
   Endpoint& first() { return endpoints[EndpointId(11)]; }
 
-  Settings settings = two_zone_settings();
+  Settings settings = two_locality_settings();
   OutlierDetector detector{settings};
   EndpointMap endpoints = fleet_of_three();
 };
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -3,13 +3,13 @@
 
 #include <gtest/gtest.h>
 
-#include "policy/fleet.h"
+#include "policy/controller_harness.h"
 
 namespace beamshunt::test {
 namespace {
 
 RetryMode mode_of(Semantics semantics, const RetryInputs& inputs) {
-  Settings settings = two_zone_settings();
+  Settings settings = two_locality_settings();
   settings.default_retry_mode = RetryMode::twice;
   return retry_mode({.semantics = semantics}, settings, inputs);
 }
--- a/tests/policy/scale_test.cpp
+++ b/tests/policy/scale_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "policy/channel_budget.h"
-#include "policy/fleet.h"
+#include "policy/controller_harness.h"
 
 namespace beamshunt::test {
 namespace {
@@ -12,17 +12,17 @@
 vector<ListedEndpoint> many(unsigned each_zone) {
   vector<ListedEndpoint> entries;
   for (unsigned k = 0; k < each_zone; ++k)
-    entries.push_back(endpoint(1000 + k, 0)), entries.push_back(endpoint(5000 + k, 1));
+    entries.push_back(make_endpoint(1000 + k, 0)), entries.push_back(make_endpoint(5000 + k, 1));
   return entries;
 }
 
 Settings large_settings(int proxies) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.proxy_count = proxies;
   return s;
 }
 
-void join_all(Fleet& f, unsigned proxies, double rate) {
+void join_all(ControllerHarness& f, unsigned proxies, double rate) {
   vector<Event> events;
   for (unsigned p = 0; p < proxies; ++p) {
     f.zones[p] = p % 2;
@@ -32,8 +32,8 @@
 }
 
 // `proxies` in two localities of `each_zone` endpoints, all joined at once.
-Fleet joined(unsigned proxies, unsigned each_zone, double rate = 4) {
-  Fleet f(large_settings(static_cast<int>(proxies)));
+ControllerHarness joined(unsigned proxies, unsigned each_zone, double rate = 4) {
+  ControllerHarness f(large_settings(static_cast<int>(proxies)));
   f.start(many(each_zone));
   join_all(f, proxies, rate);
   return f;
@@ -96,22 +96,23 @@
 
 // Danger: binds of hundreds of proxies that join at once, each with its whole table, overfill the channel.
 TEST(Scale, AMassJoinStaysWithinTheQueueAndAllAreBoundInTheEnd) {
-  Fleet f = joined(300, 60);
-  std::size_t binds = Fleet::only<AssignTable>(f.last).size();
+  ControllerHarness f = joined(300, 60);
+  std::size_t binds = ControllerHarness::only<AssignTable>(f.last).size();
   double lines = 0;
   for (unsigned p = 0; p < binds; ++p) lines += static_cast<double>(f.lines(p, 0).size());
   EXPECT_GT(binds, 0u);
   EXPECT_LT(binds, 300u);
   EXPECT_LT(lines + 6.0 * static_cast<double>(binds), f.settings.max_queued_lines);
   f.send({TimerFired{}});
-  EXPECT_TRUE(Fleet::only<AssignTable>(f.last).empty()) << "nothing is confirmed, so there is no room";
+  EXPECT_TRUE(ControllerHarness::only<AssignTable>(f.last).empty())
+      << "nothing is confirmed, so there is no room";
   f.run(
       8, [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, 100)}; }, 2, 1);
   for (unsigned p = 0; p < 300; ++p) EXPECT_TRUE(f.bound.contains({p, 0})) << p;
 }
 
 TEST(Scale, TablesAreShortFewAndShareTheEndpointsEvenly) {
-  Fleet f = joined(300, 60);
+  ControllerHarness f = joined(300, 60);
   f.run(
       12, [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, 100)}; }, 2, 1);
   std::map<EndpointId, double> load;
@@ -128,7 +129,7 @@
 }
 
 TEST(Scale, ASmallSiteKeepsWholeTables) {
-  Fleet f = joined(6, 10, 10);
+  ControllerHarness f = joined(6, 10, 10);
   EXPECT_EQ(f.lines(0, 0).size(), 10u);
 }
 
@@ -136,14 +137,14 @@
 TEST(Scale, TricklingDrainsKeepTheGraceAndTheMessageLimit) {
   Settings s = large_settings(6);
   s.max_messages_per_window = 12;
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(many(20));
   join_all(f, 6, 10);
   auto fine = [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, 100)}; };
   f.run(20, fine);
   int before = f.messages[0];
   for (unsigned k = 0; k < 15; ++k) {
-    ListedEndpoint gone = endpoint(1000 + k, 0);
+    ListedEndpoint gone = make_endpoint(1000 + k, 0);
     gone.state = EndpointState::removed;
     f.send({EndpointList{EndpointListKind::incremental, {gone}}});
     f.run(1, fine);
@@ -154,31 +155,31 @@
 
 // Danger: between two reports of a large fleet lie periods without a good answer; they are no evidence.
 TEST(Scale, SeldomReportsWithSomeFailuresEjectNobody) {
-  Fleet f = joined(40, 20);
+  ControllerHarness f = joined(40, 20);
   for (int i = 0; i < 40; ++i) {
     f.run(1, seldom(i, [](const ListedEndpoint& e) { return heard(e, 40, 8, 100); }), 2, 1);
-    ASSERT_TRUE(Fleet::only<LogMessage>(f.last).empty());
+    ASSERT_TRUE(ControllerHarness::only<LogMessage>(f.last).empty());
   }
 }
 
 // Danger: deep probes expire at a busy server that answers its requests, long before it is first reported on.
 TEST(Scale, ExpiredProbesAloneEjectNobody) {
-  Fleet f = joined(40, 20);
+  ControllerHarness f = joined(40, 20);
   for (int i = 0; i < 40; ++i) {
     f.send({HealthCheckResult{EndpointId(1003), AttemptOutcome::timed_out, Duration(400), {}},
             HealthCheckResult{EndpointId(1004), AttemptOutcome::success, Duration(5), {}}});
     f.run(1, seldom(i, [](const ListedEndpoint& e) { return heard(e, 40, 0, 400); }), 2, 1);
-    ASSERT_TRUE(Fleet::only<LogMessage>(f.last).empty());
+    ASSERT_TRUE(ControllerHarness::only<LogMessage>(f.last).empty());
   }
 }
 
 // Danger: one write to the many proxies of a long table overfills the queue.
 // One queue serves all tables. Where the first can fill it whenever they are due, the last wait for good.
 TEST(Scale, ATableThatWaitsLongestIsWrittenNext) {
-  Settings s = two_zone_settings();
+  Settings s = two_locality_settings();
   s.max_queued_lines = 40;
-  Fleet f(s);
-  f.start({endpoint(11, 0), endpoint(12, 0), endpoint(21, 1), endpoint(22, 1)});
+  ControllerHarness f(s);
+  f.start({make_endpoint(11, 0), make_endpoint(12, 0), make_endpoint(21, 1), make_endpoint(22, 1)});
   std::set<TableId> tables, written;
   auto fine = [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, 100)}; };
   for (unsigned id = 1; id <= 8; ++id) {
@@ -191,7 +192,7 @@
     f.period([&](const ListedEndpoint& e) {
       return vector{heard(e, 20, 0, (static_cast<int>(e.id) + k / 4) % 2 == 0 ? 100 : 600)};
     });
-    for (const SetWeight& line : Fleet::only<SetWeight>(f.last)) written.insert(line.table);
+    for (const SetWeight& line : ControllerHarness::only<SetWeight>(f.last)) written.insert(line.table);
   }
   EXPECT_EQ(written, tables);
 }
@@ -199,7 +200,7 @@
 TEST(Scale, AWriteStopsWhereItsPartOfTheQueueIsFull) {
   Settings s = large_settings(6);  // the site says few proxies, so tables are whole; many come
   s.max_queued_lines = 1500;
-  Fleet f(s);
+  ControllerHarness f(s);
   f.start(many(30));
   auto fine = [](const ListedEndpoint& e) { return vector{heard(e, 20, 0, 100)}; };
   for (unsigned p = 0; p < 60; ++p) {
@@ -208,7 +209,7 @@
   }
   f.listed = many(90);
   f.send({EndpointList{EndpointListKind::complete, f.listed}});
-  double lines = static_cast<double>(Fleet::only<SetWeight>(f.last).size() + 4) * 30;
+  double lines = static_cast<double>(ControllerHarness::only<SetWeight>(f.last).size() + 4) * 30;
   EXPECT_LE(lines, 1500);
   f.run(60, fine);
   EXPECT_EQ(f.lines(0, 0).size(), 90u) << "the rest follows";
@@ -216,14 +217,14 @@
 
 // Danger: full size of a restarted server is assumed anew, and it is pushed over while it is cold.
 TEST(Scale, ARestartKeepsTheSpeedLearned) {
-  Fleet f = joined(4, 4, 20);
+  ControllerHarness f = joined(4, 4, 20);
   auto slow_kind = [](const ListedEndpoint& e) {
     EndpointReport h = heard(e, e.id == EndpointId(1001) ? 10 : 20, 0, 100);
     h.load = {{"utilization", 0.6}};
     return vector{h};
   };
   f.run(120, slow_kind);
-  ListedEndpoint again = endpoint(1001, 0);
+  ListedEndpoint again = make_endpoint(1001, 0);
   again.start_time_known = true, again.start_time = f.now;
   f.send({EndpointList{EndpointListKind::incremental, {again}}});
   f.run(40, slow_kind);  // warm again, by the warm-up stated
@@ -231,7 +232,7 @@
 }
 
 TEST(Scale, ADeadServerIsEjectedByOneLateReport) {
-  Fleet f = joined(40, 20);
+  ControllerHarness f = joined(40, 20);
   int ejected = 0;
   for (int i = 0; i < 40; ++i) {
     f.run(1,
@@ -240,7 +241,7 @@
                    return heard(e, 40, i > 16 && e.id == EndpointId(1003) ? 40 : 0, 100);
                  }),
           2, 1);
-    ejected += static_cast<int>(Fleet::only<LogMessage>(f.last).size());
+    ejected += static_cast<int>(ControllerHarness::only<LogMessage>(f.last).size());
   }
   EXPECT_EQ(ejected, 1);
   for (unsigned p = 0; p < 40; p += 2) EXPECT_EQ(f.line(p, 0, 1003), 0);
@@ -248,7 +249,7 @@
 
 // Danger: the noise of a few tries, taken for new at every step, makes weights wander.
 TEST(Scale, FewTriesHeardOfSeldomLeaveWeightsNearTheirSize) {
-  Fleet f = joined(40, 20);
+  ControllerHarness f = joined(40, 20);
   unsigned noise = 1;
   for (int i = 0; i < 120; ++i) {
     auto noisy = [&noise](const ListedEndpoint& e) {
@@ -263,10 +264,10 @@
 // Danger: a controller that serves one locality's proxies takes the other for idle and floods it.
 class LocalOnly : public ::testing::Test {
  protected:
-  Fleet after(double busy_here, double busy_there) {
+  ControllerHarness after(double busy_here, double busy_there) {
     Settings s = large_settings(4);
     s.local_proxies_only = true;
-    Fleet f(s);
+    ControllerHarness f(s);
     f.start(many(4));
     for (unsigned p = 0; p < 2; ++p) f.join(p, 0, 20);
     f.run(30, [&](const ListedEndpoint& e) {
@@ -282,7 +283,7 @@
 TEST_F(LocalOnly, KeepsAtHomeWithRoomAtHome) { EXPECT_EQ(after(0.4, 0.05).line(0, 0, 5001), 0); }
 
 TEST(Scale, AnEmptyListAndTenTimesTheFleetAreServed) {
-  Fleet f(large_settings(300));
+  ControllerHarness f(large_settings(300));
   f.start({});
   join_all(f, 50, 4);
   f.run(
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -3,17 +3,17 @@
 
 #include <gtest/gtest.h>
 
-#include "policy/fleet.h"
+#include "policy/controller_harness.h"
 
 namespace beamshunt::test {
 namespace {
 
 // Initial capacity 0.25, warm-up time 16 s.
-const Settings kSettings = two_zone_settings();
+const Settings kSettings = two_locality_settings();
 
 Endpoint started_at(double ms) {
   Endpoint result;
-  result.listed = endpoint(1, 0);
+  result.listed = make_endpoint(1, 0);
   result.listed.start_time = Time(Duration(ms));
   result.listed.start_time_known = true;
   return result;
@@ -23,7 +23,7 @@
 SlowStart at_publication(double fail_share, double admitted) {
   SlowStart slow_start(kSettings);
   EndpointMap endpoints;
-  endpoints[EndpointId(2)].listed = endpoint(2, 0);
+  endpoints[EndpointId(2)].listed = make_endpoint(2, 0);
   Demand demand(kSettings);
   demand.add(Locality(0), 0, admitted);
   slow_start.update_overload(fail_share, 10, endpoints, demand, Time(Duration(100000)));
@@ -41,7 +41,7 @@
 
 TEST(SlowStartFactor, IsOneForAnEndpointThatStartedLongAgo) {
   Endpoint old;
-  old.listed = endpoint(1, 0);
+  old.listed = make_endpoint(1, 0);
   EXPECT_DOUBLE_EQ(SlowStart(kSettings).factor(old, Time(Duration(100000))), 1);
 }
 
