--- a/fuzz/platform.cpp
+++ b/fuzz/platform.cpp
@@ -1,6 +1,6 @@
 // Arbitrary bytes as the platform's messages in pieces, discovery's objects, load reports and configurations.
 #include "platform/configuration.h"
-#include "platform/directory.h"
+#include "platform/endpoint_catalog.h"
 #include "platform/message.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
@@ -11,7 +11,7 @@
   platform::LineReader reader(kMostLine);
   try {
     for (std::size_t from = 0, piece = 1; from < size; from += piece, piece = piece * 2 % 61 + 1) {
-      reader.push(bytes.substr(from, piece));
+      reader.append(bytes.substr(from, piece));
       while (auto line = reader.next()) {
         if (line->size() > kMostLine) __builtin_trap();
         try {
@@ -24,9 +24,9 @@
   }
   static_cast<void>(platform::parse_load_report(bytes));
   try {
-    platform::Directory directory;
-    for (const ListedEndpoint& e : directory.apply(bytes, names, 0, 0).list.entries)
-      if (!directory.uid(e.id)) __builtin_trap();
+    platform::EndpointCatalog catalog;
+    for (const ListedEndpoint& e : catalog.apply(bytes, names, 0, 0).list.entries)
+      if (!catalog.uid(e.id)) __builtin_trap();
   } catch (const platform::EndpointListError&) {
   }
   try {
--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -53,9 +53,9 @@
       sessions_(configuration_.sockets),
       acks_(outputs_),
       discovery_(configuration_, outputs_),
-      updates_(discovery_.directory()),
+      updates_(discovery_.catalog()),
       view_log_(log_endpoints ? std::make_unique<EndpointViewLog>(outputs_) : nullptr),
-      health_checks_(configuration_, discovery_.directory(), outputs_, view_log_.get()) {
+      health_checks_(configuration_, discovery_.catalog(), outputs_, view_log_.get()) {
   discovery_.load_cached_list(now, wall_now);
   start_controller();
 }
@@ -177,7 +177,7 @@
 
 void Core::handle(ConnectionId, Session& session, const EndpointReportMessage& report, Ms) {
   require_registered(session);
-  auto endpoint = discovery_.directory().find(report.uid);
+  auto endpoint = discovery_.catalog().find(report.uid);
   if (!endpoint)
     throw ProtocolError(ProtocolError::Scope::message, "endpoint " + report.uid + " was never listed",
                         {"endpoint", report.uid, "the uid of a listed endpoint"});
@@ -305,8 +305,7 @@
 
 void Core::run_once(Ms now) {
   if (now >= next_timeout_check_) expire_timeouts(now);
-  if (view_log_)
-    view_log_->write_if_due(discovery_.directory(), updates_.tables(), configuration_.names, now);
+  if (view_log_) view_log_->write_if_due(discovery_.catalog(), updates_.tables(), configuration_.names, now);
   while (!timers_.empty() && timers_.begin()->first <= now) {
     outputs_.events.emplace_back(TimerFired{timers_.begin()->second});
     timers_.erase(timers_.begin());
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -7,14 +7,14 @@
 void DiscoveryClient::load_cached_list(Ms now, double wall_now) {
   if (configuration_.cached_list.empty()) return;
   try {
-    directory_.apply(configuration_.cached_list, configuration_.names, now, wall_now);
+    catalog_.apply(configuration_.cached_list, configuration_.names, now, wall_now);
   } catch (const EndpointListError& error) {
     outputs_.log(log::Level::error, "cached_list_rejected", {{"reason", error.what()}});
   }
 }
 
 void DiscoveryClient::start_controller() {
-  outputs_.events.emplace_back(EndpointList{EndpointListKind::cached, directory_.listed()});
+  outputs_.events.emplace_back(EndpointList{EndpointListKind::cached, catalog_.listed()});
   if (!configuration_.settings.endpoint_list_by_subscription && !watches_.any_open()) reopen_watch_ = true;
 }
 
@@ -70,9 +70,9 @@
 
 // Whether the bytes were an object of the list.
 bool DiscoveryClient::apply_list(std::string_view json, Ms now, double wall_now) {
-  Directory::Change change;
+  EndpointCatalog::Change change;
   try {
-    change = directory_.apply(json, configuration_.names, now, wall_now);
+    change = catalog_.apply(json, configuration_.names, now, wall_now);
   } catch (const EndpointListError& error) {
     outputs_.log(log::Level::error, "endpoint_list_rejected",
                  {{"reason", error.what()}, {"field", error.field}, {"expected", error.expected}});
@@ -82,7 +82,7 @@
     outputs_.log(log::Level::warning, "endpoint_list_entry_malformed", {{"reason", error.message()}});
   const bool is_complete = change.list.kind == EndpointListKind::complete;
   outputs_.log(log::Level::info, "endpoint_list_applied",
-               {{"version", std::to_string(directory_.version())},
+               {{"version", std::to_string(catalog_.version())},
                 {"complete", is_complete ? "yes" : "no"},
                 {"outdated", change.outdated ? "yes" : "no"},
                 {"entries", std::to_string(change.list.entries.size())}});
@@ -99,16 +99,16 @@
 
 void DiscoveryClient::on_reconfigured(bool address_changed, bool localities_changed) {
   // The list's localities are numbers of the former settings, and may be none of the present ones.
-  if (localities_changed) directory_.rename(configuration_.names);
+  if (localities_changed) catalog_.rename(configuration_.names);
   if (address_changed || localities_changed) open_watch();
 }
 
 void DiscoveryClient::open_watch() {
   reopen_watch_ = false;
-  directory_.on_resubscribe();
+  catalog_.on_resubscribe();
   ListWatch::Opened opened = watches_.open();
   close_watches(opened.superseded);
-  outputs_.effects.emplace_back(OpenWatch{opened.id, configuration_.discovery, directory_.version()});
+  outputs_.effects.emplace_back(OpenWatch{opened.id, configuration_.discovery, catalog_.version()});
 }
 
 void DiscoveryClient::close_watches(const std::vector<ListWatch::Id>& watches) {
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -10,8 +10,8 @@
 
 #include "base/time.h"
 #include "platform/configuration.h"
-#include "platform/directory.h"
 #include "platform/effects.h"
+#include "platform/endpoint_catalog.h"
 #include "platform/list_watch.h"
 
 namespace beamshunt::platform {
@@ -22,7 +22,7 @@
   DiscoveryClient(const Configuration& configuration, Outputs& outputs)
       : configuration_(configuration), outputs_(outputs), watches_(configuration.seed) {}
 
-  [[nodiscard]] const Directory& directory() const { return directory_; }
+  [[nodiscard]] const EndpointCatalog& catalog() const { return catalog_; }
 
   // Takes over the configuration's cached list, if it has one. A malformed one is logged and left out.
   // `now`: ms of the monotonic clock, `wall_now`: ms since 1970 at the same instant, here and below.
@@ -57,7 +57,7 @@
 
   const Configuration& configuration_;
   Outputs& outputs_;
-  Directory directory_;
+  EndpointCatalog catalog_;
   ListWatch watches_;
   bool reopen_watch_ = false;  // once the backoff has passed
 };
--- a/src/platform/directory.cpp
+++ b/src/platform/endpoint_catalog.cpp
@@ -1,4 +1,4 @@
-#include "platform/directory.h"
+#include "platform/endpoint_catalog.h"
 
 #include <xxhash.h>
 
@@ -82,13 +82,13 @@
   return list;
 }
 
-void add_error(Directory::Change& change, const std::string& uid, const char* field) {
+void add_error(EndpointCatalog::Change& change, const std::string& uid, const char* field) {
   if (change.errors.size() < kMaxErrors) change.errors.push_back({uid, field});
 }
 
 }  // namespace
 
-struct Directory::WireEntry {
+struct EndpointCatalog::WireEntry {
   const json& object;
   std::string uid;
   std::string zone;
@@ -103,7 +103,7 @@
 // Derived from the uid, so that an id is the same at all assigners and after each start, whatever came first:
 // subsets are drawn in an order made of ids. Where two uids have the same hash, the later one takes the next
 // free number.
-EndpointId Directory::assign_id(const std::string& uid) {
+EndpointId EndpointCatalog::assign_id(const std::string& uid) {
   if (auto known = ids_.find(uid); known != ids_.end()) return known->second;
   EndpointId id{static_cast<std::uint32_t>(XXH64(uid.data(), uid.size(), 0))};
   while (entries_.contains(id)) id = EndpointId{static_cast<std::uint32_t>(id) + 1};
@@ -111,8 +111,8 @@
   return id;
 }
 
-Directory::Change Directory::apply(std::string_view bytes, const settings::Names& names, Ms now,
-                                   double wall_now) {
+EndpointCatalog::Change EndpointCatalog::apply(std::string_view bytes, const settings::Names& names, Ms now,
+                                               double wall_now) {
   const ListObject list = parse_list(bytes);
   Change change;
   change.outdated = list.revision < static_cast<double>(version_);
@@ -140,13 +140,13 @@
 }
 
 // Whether an outdated entry of a known endpoint would take back a drain, a removal or a start.
-bool Directory::goes_back(const WireEntry& wire, EndpointId id) const {
+bool EndpointCatalog::goes_back(const WireEntry& wire, EndpointId id) const {
   const Entry& entry = entries_.at(id);
   const bool started_later = number(wire.object, "boot_ms", kMaxWallMs).value_or(0) > entry.start_wall_ms;
   return !started_later && (!wire.state || *wire.state <= entry.listed.state);
 }
 
-void Directory::apply_entry(const WireEntry& wire, Ms now, double wall_now, Change& change) {
+void EndpointCatalog::apply_entry(const WireEntry& wire, Ms now, double wall_now, Change& change) {
   auto known = find(wire.uid);
   if (!wire.locality) add_error(change, wire.uid, "az");
   if (!wire.state) add_error(change, wire.uid, "state");
@@ -189,7 +189,7 @@
   change.list.entries.push_back(entry.listed);
 }
 
-void Directory::remove_unlisted(const Change& change, Ms now) {
+void EndpointCatalog::remove_unlisted(const Change& change, Ms now) {
   std::set<EndpointId> named;
   for (const ListedEndpoint& listed : change.list.entries) named.insert(listed.id);
   for (auto& [id, entry] : entries_) {
@@ -202,7 +202,7 @@
 
 // An update may name an endpoint for some time after its removal, to remove its weight. Not for good: fleets
 // replace all endpoints in time, and the directory would grow without bound.
-void Directory::forget_removed(Ms now) {
+void EndpointCatalog::forget_removed(Ms now) {
   std::erase_if(entries_, [&](const auto& id_and_entry) {
     const Entry& entry = id_and_entry.second;
     if (entry.present || now - entry.removed_at < kForgetRemovedAfter) return false;
@@ -211,7 +211,7 @@
   });
 }
 
-void Directory::rename(const settings::Names& names) {
+void EndpointCatalog::rename(const settings::Names& names) {
   for (auto& [id, entry] : entries_) {
     if (auto renamed = locality(entry.zone, names)) {
       entry.listed.locality = *renamed;
@@ -224,25 +224,25 @@
   version_ = 0;
 }
 
-std::vector<ListedEndpoint> Directory::listed() const {
+std::vector<ListedEndpoint> EndpointCatalog::listed() const {
   std::vector<ListedEndpoint> endpoints;
   for (const auto& [id, entry] : entries_)
     if (entry.present) endpoints.push_back(entry.listed);
   return endpoints;
 }
 
-std::optional<EndpointId> Directory::find(std::string_view uid) const {
+std::optional<EndpointId> EndpointCatalog::find(std::string_view uid) const {
   auto found = ids_.find(uid);
   if (found == ids_.end()) return std::nullopt;
   return found->second;
 }
 
-const std::string* Directory::uid(EndpointId id) const {
+const std::string* EndpointCatalog::uid(EndpointId id) const {
   auto found = entries_.find(id);
   return found == entries_.end() ? nullptr : &found->second.uid;
 }
 
-std::optional<net::Address> Directory::address(EndpointId id) const {
+std::optional<net::Address> EndpointCatalog::address(EndpointId id) const {
   auto found = entries_.find(id);
   return found == entries_.end() ? std::nullopt : found->second.address;
 }
--- a/src/platform/directory.h
+++ b/src/platform/endpoint_catalog.h
@@ -35,7 +35,7 @@
   [[nodiscard]] std::string message() const;
 };
 
-class Directory {
+class EndpointCatalog {
  public:
   // What one object of discovery changed.
   struct Change {
--- a/src/platform/endpoint_view_log.cpp
+++ b/src/platform/endpoint_view_log.cpp
@@ -47,16 +47,17 @@
     view.utilization = utilization->second;
 }
 
-void EndpointViewLog::write_if_due(const Directory& directory, const assignments::AssignmentTables& tables,
-                                   const settings::Names& names, Ms now) {
+void EndpointViewLog::write_if_due(const EndpointCatalog& catalog,
+                                   const assignments::AssignmentTables& tables, const settings::Names& names,
+                                   Ms now) {
   if (now < next_line_at_) return;
   next_line_at_ = now + kLineInterval;
   log::Fields fields;
-  for (const ListedEndpoint& endpoint : directory.listed()) {
+  for (const ListedEndpoint& endpoint : catalog.listed()) {
     View& view = views_[endpoint.id];
     const double successful = view.attempts - view.failed;
     fields.emplace_back(
-        *directory.uid(endpoint.id),
+        *catalog.uid(endpoint.id),
         fmt::format("{} {}: {:.0f} attempts, {:.0f} failed, {:.0f} ms; weight share {:.2f}; health check {}, "
                     "utilization {:.2f}",
                     names.localities[base::raw(endpoint.locality)],
--- a/src/platform/endpoint_view_log.h
+++ b/src/platform/endpoint_view_log.h
@@ -8,8 +8,8 @@
 
 #include "assignments/assignment_tables.h"
 #include "base/time.h"
-#include "platform/directory.h"
 #include "platform/effects.h"
+#include "platform/endpoint_catalog.h"
 #include "platform/message.h"
 #include "settings/settings.h"
 
@@ -24,7 +24,7 @@
   void record_health_check(EndpointId endpoint, AttemptOutcome outcome, const LoadReport& load);
 
   // Writes the line if it is due at `now` (ms), and begins a new account.
-  void write_if_due(const Directory& directory, const assignments::AssignmentTables& tables,
+  void write_if_due(const EndpointCatalog& catalog, const assignments::AssignmentTables& tables,
                     const settings::Names& names, Ms now);
 
  private:
--- a/src/platform/health_check_client.cpp
+++ b/src/platform/health_check_client.cpp
@@ -11,7 +11,7 @@
   const HealthCheckId id{last_id_ + 1};
   if (!in_flight_.emplace(endpoint, id).second) return;
   ++last_id_;
-  if (auto address = directory_.address(endpoint))
+  if (auto address = catalog_.address(endpoint))
     outputs_.effects.emplace_back(
         StartHealthCheck{id, endpoint, *address, configuration_.settings.load_reports_by_health_check});
   else on_result(endpoint, id, AttemptOutcome::connect_failed, 0, {});
--- a/src/platform/health_check_client.h
+++ b/src/platform/health_check_client.h
@@ -8,8 +8,8 @@
 
 #include "base/time.h"
 #include "platform/configuration.h"
-#include "platform/directory.h"
 #include "platform/effects.h"
+#include "platform/endpoint_catalog.h"
 #include "platform/endpoint_view_log.h"
 
 namespace beamshunt::platform {
@@ -17,9 +17,9 @@
 class HealthCheckClient {
  public:
   // All must outlive this. `view_log`: null if endpoints are not logged.
-  HealthCheckClient(const Configuration& configuration, const Directory& directory, Outputs& outputs,
+  HealthCheckClient(const Configuration& configuration, const EndpointCatalog& catalog, Outputs& outputs,
                     EndpointViewLog* view_log)
-      : configuration_(configuration), directory_(directory), outputs_(outputs), view_log_(view_log) {}
+      : configuration_(configuration), catalog_(catalog), outputs_(outputs), view_log_(view_log) {}
 
   // A controller starts: checks of the former one are void, their results are ignored.
   void start_controller() { in_flight_.clear(); }
@@ -35,7 +35,7 @@
 
  private:
   const Configuration& configuration_;
-  const Directory& directory_;
+  const EndpointCatalog& catalog_;
   Outputs& outputs_;
   EndpointViewLog* view_log_;
   std::map<EndpointId, HealthCheckId> in_flight_;  // of the present controller
--- a/src/platform/message.h
+++ b/src/platform/message.h
@@ -46,7 +46,7 @@
 
   void set_max_line_bytes(std::size_t bytes) { max_line_bytes_ = bytes; }
   // Appends bytes as they were received, in pieces of any size.
-  void push(std::string_view bytes) { buffer_.append(bytes); }
+  void append(std::string_view bytes) { buffer_.append(bytes); }
   // The next complete line without its end; nothing if none is complete yet. Throws ProtocolError for bytes
   // that can't become a message, as soon as that can be seen: a line longer than allowed, or one that does
   // not begin like a JSON object.
--- a/src/platform/session.cpp
+++ b/src/platform/session.cpp
@@ -35,7 +35,7 @@
 void Session::receive(std::string_view bytes, Ms now) {
   if (reader_.unfinished() == 0) unfinished_since_ = now;
   last_received_ = now;
-  reader_.push(bytes);
+  reader_.append(bytes);
 }
 
 std::optional<std::string> Session::next_message() {
--- a/src/platform/update_writer.cpp
+++ b/src/platform/update_writer.cpp
@@ -56,7 +56,7 @@
 
 void UpdateWriter::write_update(ProxyId proxy, const assignments::WeightChanged& update) {
   // A proxy ends a stream that names an endpoint which discovery never listed.
-  const std::string* uid = directory_.uid(update.endpoint);
+  const std::string* uid = catalog_.uid(update.endpoint);
   if (uid == nullptr) return;
   UpdatePart& part =
       part_for(messages_[proxy], tables_.classes_using(proxy, update.table),
@@ -77,7 +77,7 @@
 }
 
 void UpdateWriter::write_update(ProxyId proxy, const assignments::EndpointExcluded& update) {
-  const std::string* uid = directory_.uid(update.endpoint);
+  const std::string* uid = catalog_.uid(update.endpoint);
   if (uid == nullptr) return;
   UpdatePart& part = messages_[proxy].emplace_back();
   (update.excluded ? part.excluded : part.readmitted).push_back(*uid);
--- a/src/platform/update_writer.h
+++ b/src/platform/update_writer.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "assignments/assignment_tables.h"
-#include "platform/directory.h"
+#include "platform/endpoint_catalog.h"
 #include "platform/message.h"
 
 namespace beamshunt::platform {
@@ -22,7 +22,7 @@
   using Parts = std::vector<UpdatePart>;
 
   // `directory` must outlive this.
-  explicit UpdateWriter(const Directory& directory) : directory_(directory), tables_(0) {}
+  explicit UpdateWriter(const EndpointCatalog& catalog) : catalog_(catalog), tables_(0) {}
 
   // A controller starts: it has decided nothing yet. Proxies have to be registered again. `class_count`:
   // number of request classes, at most 63.
@@ -56,7 +56,7 @@
   void write_update(ProxyId proxy, const assignments::EndpointExcluded& update);
   void write_limits(ProxyId proxy, TableId table, ClassMask classes);
 
-  const Directory& directory_;
+  const EndpointCatalog& catalog_;
   assignments::AssignmentTables tables_;
   std::map<ProxyId, Parts> messages_;  // of this batch
 };
--- a/tests/platform/message_test.cpp
+++ b/tests/platform/message_test.cpp
@@ -70,7 +70,7 @@
       malformed.erase(name);
       EXPECT_EQ(rejection(malformed.dump()), Scope::message) << malformed;
       for (const json& wrong : {json(nullptr), json("zz"), json(json::array()), json(-1), json(1e300)}) {
-        if (name == "endpoint" && wrong.is_string()) continue;  // the directory knows
+        if (name == "endpoint" && wrong.is_string()) continue;  // the catalog knows
         malformed[name] = wrong;
         EXPECT_EQ(rejection(malformed.dump()), Scope::message) << malformed;
       }
@@ -91,7 +91,7 @@
   std::string bytes = "{\"a\":1}\n\r\n  {}\n{\"b\":[2]}\n{\"un";
   std::vector<std::string> whole;
   LineReader once(100);
-  once.push(bytes);
+  once.append(bytes);
   while (auto line = once.next()) whole.push_back(*line);
   ASSERT_EQ(whole.size(), 4u);
   beamshunt::test::Draw draw(5);
@@ -100,7 +100,7 @@
     LineReader reader(100);
     for (std::size_t from = 0, size; from < bytes.size(); from += size) {
       size = std::min<std::size_t>(1 + draw(6), bytes.size() - from);
-      reader.push(std::string_view(bytes).substr(from, size));
+      reader.append(std::string_view(bytes).substr(from, size));
       while (auto line = reader.next()) pieces.push_back(*line);
     }
     EXPECT_EQ(pieces, whole);
@@ -112,16 +112,16 @@
 // end would hold memory and a descriptor.
 TEST(LineReader, RejectsAsSoonAsNoMessageCanCome) {
   LineReader http(100);
-  http.push("G");
+  http.append("G");
   EXPECT_THROW(http.next(), ProtocolError);
   LineReader zeros(100);
-  zeros.push(std::string(1, '\0'));
+  zeros.append(std::string(1, '\0'));
   EXPECT_THROW(zeros.next(), ProtocolError);
   LineReader endless(100);
-  endless.push("{" + std::string(100, ' '));
+  endless.append("{" + std::string(100, ' '));
   EXPECT_THROW(endless.next(), ProtocolError);
   LineReader fits(100);
-  fits.push("{" + std::string(98, ' ') + "}\n");
+  fits.append("{" + std::string(98, ' ') + "}\n");
   EXPECT_TRUE(fits.next());
 }
 
--- a/tests/platform/update_writer_test.cpp
+++ b/tests/platform/update_writer_test.cpp
@@ -15,15 +15,15 @@
 
 struct UpdateWriterTest : ::testing::Test {
   UpdateWriterTest() {
-    directory.apply(four().dump(), {{"north", "south"}, {"look", "buy"}}, 0, 0);
+    catalog.apply(four().dump(), {{"north", "south"}, {"look", "buy"}}, 0, 0);
     writer.start_controller(2);
     writer.register_proxy(kProxy);
   }
-  EndpointId endpoint(const char* uid) const { return directory.find(uid).value(); }
+  EndpointId endpoint(const char* uid) const { return catalog.find(uid).value(); }
   UpdateWriter::Parts take() { return writer.take_messages()[kProxy]; }
 
-  Directory directory;
-  UpdateWriter writer{directory};
+  EndpointCatalog catalog;
+  UpdateWriter writer{catalog};
 };
 
 TEST_F(UpdateWriterTest, AnAssignedTableIsReplacedWithItsWeightsInOnePart) {
