--- a/src/assigner/action_executor.cpp
+++ b/src/assigner/action_executor.cpp
@@ -16,10 +16,10 @@
 
   void operator()(const Subscribe& x) {
     targets_.watching = x.active;
-    if (x.active) targets_.effects.emplace_back(OpenWatch{});
-    else targets_.effects.emplace_back(CloseWatch{});
+    if (x.active) targets_.effects.emplace_back(OpenEndpointWatch{});
+    else targets_.effects.emplace_back(CloseEndpointWatch{});
   }
-  void operator()(const FetchEndpoints&) { targets_.effects.emplace_back(FetchList{}); }
+  void operator()(const FetchEndpoints&) { targets_.effects.emplace_back(FetchEndpointList{}); }
   void operator()(const SetTimer& x) {
     running_.timers.emplace(x.deadline.time_since_epoch().count(), x.token);
   }
@@ -48,11 +48,11 @@
   }
   void operator()(const LogMessage& x) {
     targets_.metrics.controller_logged(x);
-    targets_.effects.emplace_back(LogLine{log::Level::info, "controller", {{"text", x.text}}});
+    targets_.effects.emplace_back(WriteLogEvent{log::Level::info, "controller", {{"text", x.text}}});
   }
   void operator()(const InvariantViolated& x) {
     targets_.effects.emplace_back(
-        LogLine{log::Level::error, "controller_invariant_violated", {{"text", x.text}}});
+        WriteLogEvent{log::Level::error, "controller_invariant_violated", {{"text", x.text}}});
   }
 
  private:
--- a/src/assigner/candidate_checker.h
+++ b/src/assigner/candidate_checker.h
@@ -20,7 +20,7 @@
 // All that a check looks at: copies, since what they are copied from changes while it runs.
 struct CandidateRequest {
   config_stream::Version candidate;
-  Fleet fleet;
+  FleetSnapshot fleet;
   AssignerSettings now;
   std::vector<std::string> changed;  // paths that differ in text from what runs
 };
--- a/src/assigner/configuration_manager.h
+++ b/src/assigner/configuration_manager.h
@@ -29,7 +29,7 @@
 class ConfigurationHost {
  public:
   virtual ~ConfigurationHost() = default;
-  virtual Fleet fleet() = 0;
+  virtual FleetSnapshot fleet() = 0;
   virtual const AssignerSettings& settings() = 0;  // that run
   virtual telemetry::AssignerMetrics figures() = 0;
   // Whether the core can take over the settings at this instant; if not, it is asked again.
--- a/src/assigner/configuration_validator.h
+++ b/src/assigner/configuration_validator.h
@@ -15,7 +15,7 @@
 struct CandidateConfiguration {
   const AssignerSettings& now;
   const AssignerSettings& next;
-  const Fleet& fleet;
+  const FleetSnapshot& fleet;
   const config_stream::Resources& resources;
   const std::vector<std::string>& changed;  // paths that differ in text from what runs
 };
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -48,10 +48,10 @@
 }
 
 void Core::log(log::Level level, std::string event, log::Fields fields) {
-  effects_.emplace_back(LogLine{level, std::move(event), std::move(fields)});
+  effects_.emplace_back(WriteLogEvent{level, std::move(event), std::move(fields)});
 }
 
-void Core::append_record(std::string bytes) { effects_.emplace_back(AppendRecord{std::move(bytes)}); }
+void Core::append_record(std::string bytes) { effects_.emplace_back(AppendFlightRecord{std::move(bytes)}); }
 
 CoreView Core::view() const {
   return {.site = site_,
@@ -81,7 +81,7 @@
 
 void Core::proxy_disconnected(ProxyId proxy) {
   handover_.remove_proxy(proxy);
-  reports_.forget_proxy(proxy);
+  reports_.remove_proxy(proxy);
   writer_.discard(proxy);
   metrics_.proxy_removed(proxy);
   handover_.deliver(ProxyDisconnected{proxy});
@@ -132,7 +132,7 @@
     metrics_.endpoint_changed(id, endpoints_.is_available(id), now);
   handover_.deliver(EndpointList{update.complete ? EndpointListKind::complete : EndpointListKind::incremental,
                                  endpoints_.to_listed(update.entries, now, wall_now)});
-  effects_.emplace_back(SaveList{});
+  effects_.emplace_back(SaveEndpointList{});
   log(log::Level::debug, "endpoint_list_applied",
       {{"version", std::to_string(update.version)}, {"entries", std::to_string(update.entries.size())}});
 }
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -48,7 +48,7 @@
   void peer_dialled(StreamId stream, std::uint32_t instance, Ms now) {
     protocol_.peer_dialled(stream, instance, now);
   }
-  void stream_bytes(StreamId stream, std::string_view bytes, Ms now) {
+  void stream_bytes_received(StreamId stream, std::string_view bytes, Ms now) {
     protocol_.bytes_received(stream, bytes, now);
   }
   void stream_closed(StreamId stream, const std::string& reason, Ms now) {
@@ -76,15 +76,15 @@
 
   // ---- What is seen ----
   [[nodiscard]] const Counters& counters() const { return counters_; }
-  [[nodiscard]] std::size_t streams() const { return protocol_.sessions().size(); }
-  [[nodiscard]] std::size_t proxies() const { return protocol_.sessions().proxies().size(); }
+  [[nodiscard]] std::size_t stream_count() const { return protocol_.sessions().size(); }
+  [[nodiscard]] std::size_t proxy_count() const { return protocol_.sessions().proxies().size(); }
   [[nodiscard]] double unacknowledged_lines() const { return protocol_.sessions().unacknowledged_lines(); }
   [[nodiscard]] Ms oldest_report_wait(Ms now) const { return reports_.oldest_wait(now); }
   [[nodiscard]] bool handover_in_progress() const { return handover_.in_progress(); }
-  [[nodiscard]] Fleet fleet(Ms now) const { return fleet_snapshot(view(), metrics_, now); }
-  [[nodiscard]] std::string list_bytes() const { return encode_cached_list(endpoints_); }
+  [[nodiscard]] FleetSnapshot fleet(Ms now) const { return fleet_snapshot(view(), metrics_, now); }
+  [[nodiscard]] std::string encoded_endpoint_list() const { return encode_cached_list(endpoints_); }
   [[nodiscard]] std::string status_json(Ms now) const { return assigner::status_json(view(), now); }
-  [[nodiscard]] telemetry::AssignerMetrics figures(Ms now) { return metrics_.figures(view(), now); }
+  [[nodiscard]] telemetry::AssignerMetrics collect_metrics(Ms now) { return metrics_.collect(view(), now); }
 
  private:
   // ---- SessionListener ----
--- a/src/assigner/core_metrics.cpp
+++ b/src/assigner/core_metrics.cpp
@@ -199,7 +199,7 @@
   return unsafe_retries;
 }
 
-telemetry::AssignerMetrics CoreMetrics::figures(const CoreView& core, Ms now) {
+telemetry::AssignerMetrics CoreMetrics::collect(const CoreView& core, Ms now) {
   const Settings& p = core.site.policy;
   telemetry::AssignerMetrics f;
   add_channel(core, now, f);
--- a/src/assigner/core_metrics.h
+++ b/src/assigner/core_metrics.h
@@ -36,7 +36,7 @@
   // Requests that arrived since the start, by class.
   [[nodiscard]] std::vector<double> arrivals_by_class(std::size_t class_count) const;
 
-  telemetry::AssignerMetrics figures(const CoreView& core, Ms now);
+  telemetry::AssignerMetrics collect(const CoreView& core, Ms now);
 
  private:
   struct ServiceTotals {
--- a/src/assigner/core_status.cpp
+++ b/src/assigner/core_status.cpp
@@ -34,18 +34,18 @@
 
 }  // namespace
 
-Fleet fleet_snapshot(const CoreView& core, const CoreMetrics& metrics, Ms now) {
-  Fleet out;
+FleetSnapshot fleet_snapshot(const CoreView& core, const CoreMetrics& metrics, Ms now) {
+  FleetSnapshot out;
   for (const EndpointListEntry& entry : core.endpoints.entries()) {
-    Fleet::Server server{entry.id, entry.locality, entry.cell, entry.capacity,
-                         entry.state == EndpointState::available};
-    server.address = entry.address;
-    if (auto start = core.endpoints.start_time(entry.id)) server.up_for = now - *start;
+    FleetSnapshot::Endpoint endpoint{entry.id, entry.locality, entry.cell, entry.capacity,
+                                     entry.state == EndpointState::available};
+    endpoint.address = entry.address;
+    if (auto start = core.endpoints.start_time(entry.id)) endpoint.uptime = now - *start;
     if (const EndpointActivity* activity = metrics.activity(entry.id)) {
-      server.rate = activity->attempt_rate;
-      server.busy = activity->utilization;
+      endpoint.attempt_rate = activity->attempt_rate;
+      endpoint.utilization = activity->utilization;
     }
-    out.servers.push_back(server);
+    out.endpoints.push_back(endpoint);
   }
   for (const auto& [proxy, stream] : core.sessions.proxies()) {
     const Session& session = core.sessions.session_of(stream);
@@ -53,7 +53,7 @@
         {raw(proxy), core.site.locality_of.find(session.address.ip).value_or(0), session.expected_rate,
          session.messages.count(now, core.site.policy.message_window.count()), session.address});
   }
-  out.came = metrics.arrivals_by_class(core.site.policy.classes.size());
+  out.arrivals_by_class = metrics.arrivals_by_class(core.site.policy.classes.size());
   out.streams = core.sessions.size();
   return out;
 }
@@ -70,7 +70,7 @@
   out["channel"] = {{"unconfirmed_lines", core.sessions.unacknowledged_lines()},
                     {"unsent_messages", core.channel.queued()},
                     {"free_in_ms", std::max(0.0, core.channel.free_at() - now)}};
-  out["reports"] = {{"waiting_lines", core.reports.waiting()}, {"taken", core.counters.reports}};
+  out["reports"] = {{"waiting_lines", core.reports.pending_entries()}, {"taken", core.counters.reports}};
   out["counters"] = counters_json(core.counters);
   nlohmann::json tables = nlohmann::json::object();
   for (const auto& [number, running] : core.controllers)
--- a/src/assigner/effects.h
+++ b/src/assigner/effects.h
@@ -30,23 +30,24 @@
   std::uint32_t instance = 0;
   net::Address address{};
 };
-struct OpenWatch {};  // a new watch, or the present one anew: the complete list answers
-struct CloseWatch {};
-struct FetchList {};  // once, beside the watch
+struct OpenEndpointWatch {};  // a new watch, or the present one anew: the complete list answers
+struct CloseEndpointWatch {};
+struct FetchEndpointList {};  // once, beside the watch
 struct SendHealthCheckRequest {
   EndpointId endpoint{};
   net::Address address{};
 };
-struct SaveList {};  // list_bytes(), as soon as the disk is free
-struct AppendRecord {
+struct SaveEndpointList {};  // encoded_endpoint_list(), as soon as the disk is free
+struct AppendFlightRecord {
   std::string bytes;  // to the flight record
 };
-struct LogLine {
+struct WriteLogEvent {
   log::Level level = log::Level::info;
   std::string event;   // a stable name
   log::Fields fields;  // stable names
 };
-using Effect = std::variant<SendBytes, CloseStream, DialPeer, OpenWatch, CloseWatch, FetchList,
-                            SendHealthCheckRequest, SaveList, AppendRecord, LogLine>;
+using Effect =
+    std::variant<SendBytes, CloseStream, DialPeer, OpenEndpointWatch, CloseEndpointWatch, FetchEndpointList,
+                 SendHealthCheckRequest, SaveEndpointList, AppendFlightRecord, WriteLogEvent>;
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/fleet_constraints.cpp
+++ b/src/assigner/fleet_constraints.cpp
@@ -17,12 +17,12 @@
 }
 
 std::optional<Reason> moved_locality(const AssignerSettings& now, const AssignerSettings& next,
-                                     const Fleet& fleet) {
+                                     const FleetSnapshot& fleet) {
   const auto& had = now.policy.localities;
   const auto& has = next.policy.localities;
   std::vector<std::size_t> servers(had.size());
   std::vector<std::size_t> proxies(had.size());
-  for (const auto& server : fleet.servers) ++servers[known_locality(server.locality, had)];
+  for (const auto& server : fleet.endpoints) ++servers[known_locality(server.locality, had)];
   for (const auto& proxy : fleet.proxies) ++proxies[known_locality(proxy.locality, had)];
   for (std::size_t z = 0; z < had.size(); ++z) {
     if (z < has.size() && has[z] == had[z]) continue;
@@ -40,7 +40,7 @@
 }
 
 std::optional<Reason> moved_class(const AssignerSettings& now, const AssignerSettings& next,
-                                  const Fleet& fleet) {
+                                  const FleetSnapshot& fleet) {
   for (std::size_t c = 0; c < now.class_names.size(); ++c) {
     if (c < next.class_names.size() && next.class_names[c] == now.class_names[c]) continue;
     return Reason{
@@ -60,28 +60,28 @@
 
 // Why the proxy would be in another locality, or not be admitted again after a loss of its stream.
 std::optional<Reason> misplaced_proxy(const AssignerSettings& now, const AssignerSettings& next,
-                                      const Fleet::JoinedProxy& proxy) {
+                                      const FleetSnapshot::RegisteredProxy& proxy) {
   const auto& had = now.policy.localities;
   const auto& has = next.policy.localities;
-  auto locality = next.locality_of.find(proxy.from.ip);
+  auto locality = next.locality_of.find(proxy.address.ip);
   if (!locality || *locality != proxy.locality)
     return Reason{"rule 1", "site.localities",
                   fmt::format("proxy {} at {} is in \"{}\" and would be in {}", proxy.id,
-                              net::to_string(proxy.from), had[known_locality(proxy.locality, had)],
+                              net::to_string(proxy.address), had[known_locality(proxy.locality, had)],
                               locality ? "\"" + has[*locality] + "\"" : "none"),
                   "prefixes that hold every joined proxy"};
-  if (!next.admits_all && !next.admitted.find(proxy.from.ip))
-    return Reason{
-        "rule 1", "admit",
-        fmt::format("proxy {} at {} is joined and could not come back", proxy.id, net::to_string(proxy.from)),
-        "a prefix that holds every joined proxy"};
+  if (!next.admits_all && !next.admitted.find(proxy.address.ip))
+    return Reason{"rule 1", "admit",
+                  fmt::format("proxy {} at {} is joined and could not come back", proxy.id,
+                              net::to_string(proxy.address)),
+                  "a prefix that holds every joined proxy"};
   return std::nullopt;
 }
 
 }  // namespace
 
 std::vector<Reason> fleet_conflicts(const AssignerSettings& now, const AssignerSettings& next,
-                                    const Fleet& fleet) {
+                                    const FleetSnapshot& fleet) {
   // Behind a locality that moved all positions are others: further reasons would say nothing new.
   if (auto reason = moved_locality(now, next, fleet)) return {*reason};
   std::vector<Reason> out;
--- a/src/assigner/fleet_constraints.h
+++ b/src/assigner/fleet_constraints.h
@@ -12,6 +12,6 @@
 
 // Why `next` can't take the place of `now` with this fleet; empty: it can.
 std::vector<config_stream::Reason> fleet_conflicts(const AssignerSettings& now, const AssignerSettings& next,
-                                                   const Fleet& fleet);
+                                                   const FleetSnapshot& fleet);
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/report_intake.cpp
+++ b/src/assigner/report_intake.cpp
@@ -32,7 +32,7 @@
   s.failed += entry.failed;
 }
 
-void ReportIntake::forget_proxy(ProxyId proxy) {
+void ReportIntake::remove_proxy(ProxyId proxy) {
   auto is_of_proxy = [&](const Key& key) {
     const auto* demand = std::get_if<DemandKey>(&key);
     return demand && demand->first == proxy;
--- a/src/assigner/report_intake.h
+++ b/src/assigner/report_intake.h
@@ -28,11 +28,11 @@
   void add_endpoint_report(Locality from, const channel::EndpointReportEntry& entry, Ms begin, Ms end);
   void add_demand_report(ProxyId proxy, const channel::DemandReportEntry& entry, Ms begin, Ms end);
   // The proxy has disconnected: what it reported of its own requests concerns nobody any more.
-  void forget_proxy(ProxyId proxy);
+  void remove_proxy(ProxyId proxy);
   // EndpointReports and DemandReports that may go out now: the rate times the time since the last call, a
   // second's worth at most.
   std::vector<Event> release(Ms now);
-  [[nodiscard]] std::size_t waiting() const { return order_.size(); }  // summed entries
+  [[nodiscard]] std::size_t pending_entries() const { return order_.size(); }  // summed entries
   [[nodiscard]] Ms oldest_wait(Ms now) const;  // of the longest waiting; 0: none waits
 
  private:
--- a/src/assigner/service.cpp
+++ b/src/assigner/service.cpp
@@ -65,22 +65,22 @@
   void execute(SendBytes& effect);
   void execute(CloseStream& effect);
   void execute(DialPeer& effect);
-  void execute(OpenWatch& effect);
-  void execute(CloseWatch& effect);
-  void execute(FetchList& effect);
+  void execute(OpenEndpointWatch& effect);
+  void execute(CloseEndpointWatch& effect);
+  void execute(FetchEndpointList& effect);
   void execute(SendHealthCheckRequest& effect);
-  void execute(SaveList& effect);
-  void execute(AppendRecord& effect);
-  void execute(LogLine& effect);
+  void execute(SaveEndpointList& effect);
+  void execute(AppendFlightRecord& effect);
+  void execute(WriteLogEvent& effect);
 
   // ---- Metrics and configuration ----
   void open_metrics_writer();
   telemetry::AssignerMetrics all_figures();
   void open_configuration(const std::vector<config::Source>& files, StartupConfiguration& startup,
                           ConfigurationValidator validator);
-  Fleet fleet() override { return core_.fleet(reactor_.now()); }
+  FleetSnapshot fleet() override { return core_.fleet(reactor_.now()); }
   const AssignerSettings& settings() override { return settings_; }
-  telemetry::AssignerMetrics figures() override { return core_.figures(reactor_.now()); }
+  telemetry::AssignerMetrics figures() override { return core_.collect_metrics(reactor_.now()); }
   bool may_apply(const AssignerSettings& next) override {
     return core_.may_reconfigure(next, reactor_.now());
   }
@@ -128,7 +128,7 @@
               {.from = {settings_.channel.ip, 0}, .idle_ms = kIdleTimeout, .connect_ms = kConnectTimeout}),
       discovery_(client_, settings_.discovery, settings_.instance, discovery_events()),
       record_(reactor_, disk_, log_, settings_.record_file),
-      list_writer_(reactor_, disk_, state_, log_, [this] { return core_.list_bytes(); }),
+      list_writer_(reactor_, disk_, state_, log_, [this] { return core_.encoded_endpoint_list(); }),
       disk_(kMaxDiskBytes) {
   core_.set_message_interceptor(std::move(interceptor));
   listener_ = std::make_unique<net::Listener>(
@@ -185,7 +185,7 @@
   streams_[id] = connection;
   connection->start({std::move(connected),
                      [this, id](std::string_view bytes) {
-                       core_.stream_bytes(id, bytes, reactor_.now());
+                       core_.stream_bytes_received(id, bytes, reactor_.now());
                        schedule_run();
                      },
                      {},
@@ -225,13 +225,13 @@
       [this](const std::string& reason) { core_.endpoint_list_lost(reason); }, [this] { schedule_run(); }};
 }
 
-void Service::execute(OpenWatch&) { discovery_.open_watch(settings_.list_quiet); }
+void Service::execute(OpenEndpointWatch&) { discovery_.open_watch(settings_.list_quiet); }
 
-void Service::execute(CloseWatch&) { discovery_.close_watch(); }
+void Service::execute(CloseEndpointWatch&) { discovery_.close_watch(); }
 
-void Service::execute(FetchList&) { discovery_.fetch(settings_.list_quiet); }
+void Service::execute(FetchEndpointList&) { discovery_.fetch(settings_.list_quiet); }
 
-void Service::execute(SaveList&) { list_writer_.list_changed(); }
+void Service::execute(SaveEndpointList&) { list_writer_.list_changed(); }
 
 // ---- Health checks, the flight record, the log ----
 
@@ -245,14 +245,14 @@
               });
 }
 
-void Service::execute(AppendRecord& effect) { record_.append(std::move(effect.bytes)); }
+void Service::execute(AppendFlightRecord& effect) { record_.append(std::move(effect.bytes)); }
 
-void Service::execute(LogLine& effect) { log_.write(effect.level, effect.event, effect.fields); }
+void Service::execute(WriteLogEvent& effect) { log_.write(effect.level, effect.event, effect.fields); }
 
 // ---- Metrics and configuration ----
 
 telemetry::AssignerMetrics Service::all_figures() {
-  telemetry::AssignerMetrics out = core_.figures(reactor_.now());
+  telemetry::AssignerMetrics out = core_.collect_metrics(reactor_.now());
   out.longest_turn_s = reactor_.take_longest_turn() / kMsPerSecond;
   if (configuration_) configuration_->add_to(out);
   return out;
--- a/src/assigner/session_protocol.cpp
+++ b/src/assigner/session_protocol.cpp
@@ -28,7 +28,7 @@
 }
 
 void SessionProtocol::log(log::Level level, std::string event, log::Fields fields) {
-  effects_.emplace_back(LogLine{level, std::move(event), std::move(fields)});
+  effects_.emplace_back(WriteLogEvent{level, std::move(event), std::move(fields)});
 }
 
 SessionTimeouts SessionProtocol::timeouts() const {
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -266,7 +266,7 @@
   assigner::AssignerSettings now = assigner::load_assigner_settings(files);
   assigner::ComposedSettings c = assigner::compose(files, resources);
   std::vector<config_stream::Reason> reasons = c.reasons;
-  assigner::Fleet nobody;
+  assigner::FleetSnapshot nobody;
   if (c.settings) reasons = gate::judge({now, *c.settings, nobody, resources, {}});
   for (const config_stream::Reason& r : reasons) fmt::print("{}\n", config_stream::to_string(r));
   if (reasons.empty()) fmt::print("it would pass, as far as can be said without a fleet\n");
--- a/src/emulator/emulator.cpp
+++ b/src/emulator/emulator.cpp
@@ -466,13 +466,13 @@
     engine_.at(std::max(engine_.now() + kHop, p.deliver_after),
                [this, k = s.mapped(), stream = e.stream] { lost(k, stream); });
   }
-  void carry_out(AssignerRun& a, assigner::OpenWatch&) {
+  void carry_out(AssignerRun& a, assigner::OpenEndpointWatch&) {
     a.watching = false;
     engine_.after(kListAnswer,
                   [this, i = a.instance, life = a.life, n = ++a.watch] { whole_list(i, life, true, n); });
   }
-  void carry_out(AssignerRun& a, assigner::CloseWatch&) { ++a.watch, a.watching = false; }
-  void carry_out(AssignerRun& a, assigner::FetchList&) {
+  void carry_out(AssignerRun& a, assigner::CloseEndpointWatch&) { ++a.watch, a.watching = false; }
+  void carry_out(AssignerRun& a, assigner::FetchEndpointList&) {
     engine_.after(kListAnswer, [this, i = a.instance, life = a.life] { whole_list(i, life, false, 0); });
   }
   void carry_out(AssignerRun& a, assigner::SendHealthCheckRequest& e) {
@@ -496,10 +496,10 @@
       else told(AttemptOutcome::connection_lost, {});
     });
   }
-  void carry_out(AssignerRun& a, assigner::SaveList&) { a.warm = a.host->list_bytes(); }
-  void carry_out(AssignerRun& a, assigner::AppendRecord& e) { a.record += e.bytes; }
+  void carry_out(AssignerRun& a, assigner::SaveEndpointList&) { a.warm = a.host->list_bytes(); }
+  void carry_out(AssignerRun& a, assigner::AppendFlightRecord& e) { a.record += e.bytes; }
   void carry_out(AssignerRun&, assigner::DialPeer&) {}  // the policy sends its peers nothing
-  void carry_out(AssignerRun&, assigner::LogLine&) {}
+  void carry_out(AssignerRun&, assigner::WriteLogEvent&) {}
 
   // ---- Proxies ----
   void add_proxy(std::uint32_t locality, std::uint32_t number, net::Address front, double rate) {
--- a/src/emulator/host.cpp
+++ b/src/emulator/host.cpp
@@ -23,7 +23,7 @@
   }
   void stream_opened(StreamId s, net::Address peer, Ms now) override { core_.stream_opened(s, peer, now); }
   void stream_bytes(StreamId s, std::string_view bytes, Ms now) override {
-    core_.stream_bytes(s, bytes, now);
+    core_.stream_bytes_received(s, bytes, now);
   }
   void stream_closed(StreamId s, const std::string& why, Ms now) override {
     core_.stream_closed(s, why, now);
@@ -42,11 +42,11 @@
                    Ms now) override {
     core_.reconfigure(to, version, hash, now);
   }
-  std::optional<telemetry::AssignerMetrics> figures(Ms now) override { return core_.figures(now); }
+  std::optional<telemetry::AssignerMetrics> figures(Ms now) override { return core_.collect_metrics(now); }
   void turn(Ms now) override { core_.run_once(now); }
   Ms next_due() const override { return core_.next_due(); }
   std::vector<assigner::Effect> take_effects() override { return core_.take_effects(); }
-  std::string list_bytes() const override { return core_.list_bytes(); }
+  std::string list_bytes() const override { return core_.encoded_endpoint_list(); }
   double waiting_lines() const override { return core_.unacknowledged_lines(); }
   Ms oldest_report(Ms now) const override { return core_.oldest_report_wait(now); }
 
@@ -78,7 +78,7 @@
   void list_line(std::string_view json, Ms now, double) override {
     book_.apply(assigner::parse_endpoint_list(json, site_.policy.localities));
     ask_at_ = base::kNever;
-    effects_.emplace_back(assigner::SaveList{});
+    effects_.emplace_back(assigner::SaveEndpointList{});
     for (auto& [id, stream] : streams_)
       if (stream.joined) tell(id, stream, now, {});
   }
@@ -87,7 +87,7 @@
   void turn(Ms now) override {
     if (now < ask_at_) return;
     ask_at_ = now + kAskAgain;
-    effects_.emplace_back(assigner::OpenWatch{});
+    effects_.emplace_back(assigner::OpenEndpointWatch{});
   }
   Ms next_due() const override { return ask_at_; }
   std::vector<assigner::Effect> take_effects() override { return std::exchange(effects_, {}); }
--- a/src/gate/prove.cpp
+++ b/src/gate/prove.cpp
@@ -28,10 +28,10 @@
 // All that speaks against settings for a fleet, whatever ran before; and against going over to them.
 class Prover {
  public:
-  Prover(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet)
+  Prover(const AssignerSettings& now, const AssignerSettings& next, const FleetSnapshot& fleet)
       : now_(now), next_(next), p_(next.policy), fleet_(fleet) {
     joined_ = std::max(1.0, static_cast<double>(fleet.proxies.size()));  // one may come at any time
-    for (auto& s : fleet.servers) open_ += s.open;
+    for (auto& s : fleet.endpoints) open_ += s.available;
   }
 
   std::vector<Reason> standing() {
@@ -124,8 +124,8 @@
       for (std::size_t z = 0; z < p_.localities.size(); ++z) {
         auto here = [&](auto& x) { return x.locality == z; };
         auto proxies = std::count_if(fleet_.proxies.begin(), fleet_.proxies.end(), here);
-        bool served = std::any_of(fleet_.servers.begin(), fleet_.servers.end(),
-                                  [&](auto& s) { return s.open && s.locality == z; });
+        bool served = std::any_of(fleet_.endpoints.begin(), fleet_.endpoints.end(),
+                                  [&](auto& s) { return s.available && s.locality == z; });
         if (proxies == 0 || served) continue;
         refuse("rule 1", fmt::format("site.classes[{}].home_only", c),
                fmt::format("class \"{}\" may go nowhere from \"{}\": {} proxies, no open server",
@@ -166,7 +166,7 @@
       refuse("rule 1", "streams.most",
              fmt::format("{} streams are open: who must dial again would be turned away", fleet_.streams),
              std::to_string(fleet_.streams));
-    auto servers = static_cast<double>(fleet_.servers.size());
+    auto servers = static_cast<double>(fleet_.endpoints.size());
     double report = servers * kHeardBytes + static_cast<double>(p_.classes.size()) * 14 + 64;
     if (static_cast<double>(next_.most_frame) < report)
       refuse(
@@ -196,7 +196,7 @@
   void reports_arrive() {
     std::set<std::uint32_t> from;
     for (auto& x : fleet_.proxies) from.insert(x.locality);
-    double pairs = static_cast<double>(fleet_.servers.size() * from.size()) +
+    double pairs = static_cast<double>(fleet_.endpoints.size() * from.size()) +
                    joined_ * static_cast<double>(p_.classes.size());
     Ms round = pairs / next_.report_lines_per_s * 1000;
     if (round <= kMostRound) return;
@@ -226,7 +226,7 @@
     std::size_t most = 0;
     std::uint32_t who = 0;
     for (auto& x : fleet_.proxies)
-      if (x.spent > most) most = x.spent, who = x.id;
+      if (x.messages_in_window > most) most = x.messages_in_window, who = x.id;
     if (most <= static_cast<std::size_t>(p_.max_messages_per_window) ||
         p_.max_messages_per_window == now_.policy.max_messages_per_window)
       return;
@@ -244,9 +244,9 @@
   }
   void cold_servers() {
     const Settings& had = now_.policy;
-    for (auto& s : fleet_.servers) {
-      if (!s.open || s.up_for >= had.warm_up_time.count()) continue;
-      double before = may_be_sent(had, s.up_for), after = may_be_sent(p_, s.up_for);
+    for (auto& s : fleet_.endpoints) {
+      if (!s.available || s.uptime >= had.warm_up_time.count()) continue;
+      double before = may_be_sent(had, s.uptime), after = may_be_sent(p_, s.uptime);
       if (after <= before * 1.001 && p_.overload_window <= had.overload_window) continue;
       std::string path =
           changed(std::pair{"site.guarantees.start_capacity", p_.initial_capacity > had.initial_capacity},
@@ -261,7 +261,7 @@
           "rule 4", path,
           fmt::format("server {} started {:.0f} ms ago under the promise of {:.2f} of a warm one's load and "
                       "would be sent {:.2f}",
-                      s.id, s.up_for, before, after),
+                      s.id, s.uptime, before, after),
           value + " until it is warm");
       return;
     }
@@ -301,14 +301,15 @@
 
   const AssignerSettings &now_, &next_;
   const Settings& p_;
-  const Fleet& fleet_;
+  const FleetSnapshot& fleet_;
   double joined_ = 0, open_ = 0;
   std::vector<Reason> out_;
 };
 
 }  // namespace
 
-std::vector<Reason> prove(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet) {
+std::vector<Reason> prove(const AssignerSettings& now, const AssignerSettings& next,
+                          const FleetSnapshot& fleet) {
   std::vector<Reason> out = assigner::fleet_conflicts(now, next, fleet);
   if (!out.empty()) return out;  // what follows goes by positions
   std::vector<Reason> had = Prover(now, now, fleet).standing();
--- a/src/gate/prove.h
+++ b/src/gate/prove.h
@@ -11,10 +11,11 @@
 namespace beamshunt::gate {
 
 using assigner::AssignerSettings;
-using assigner::Fleet;
+using assigner::FleetSnapshot;
 using config_stream::Reason;
 
 // Faults that `now` has as well, in the same figures, are not the change's and left out.
-std::vector<Reason> prove(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet);
+std::vector<Reason> prove(const AssignerSettings& now, const AssignerSettings& next,
+                          const FleetSnapshot& fleet);
 
 }  // namespace beamshunt::gate
--- a/src/gate/shadow.cpp
+++ b/src/gate/shadow.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using assigner::AssignerSettings;
-using assigner::Fleet;
+using assigner::FleetSnapshot;
 using day::Stage;
 using standin::ListTold;
 
@@ -32,11 +32,11 @@
 }
 
 // The core begins with the list that it holds: else its first orders would be those of a first start.
-std::string held_list(const Fleet& fleet) {
+std::string held_list(const FleetSnapshot& fleet) {
   assigner::EndpointListUpdate all{.version = 1};
-  for (auto& s : fleet.servers)
-    all.entries.push_back({s.id, s.locality, s.cell, s.size,
-                           s.open ? EndpointState::available : EndpointState::removed, 0, s.address});
+  for (auto& s : fleet.endpoints)
+    all.entries.push_back({s.id, s.locality, s.cell, s.capacity,
+                           s.available ? EndpointState::available : EndpointState::removed, 0, s.address});
   assigner::EndpointCatalog book;
   book.apply(all);
   return encode_cached_list(book);
@@ -47,12 +47,12 @@
   double rate = 0;  // requests a second, of all
   Ms work = 1;
 };
-Traffic traffic_of(const Fleet& fleet, double usual) {
+Traffic traffic_of(const FleetSnapshot& fleet, double usual) {
   double size = 0, known = 0, busy = 0, rate = 0;
-  for (auto& s : fleet.servers) {
-    if (!s.open) continue;
-    size += s.size;
-    if (s.busy >= 0) known += s.size, busy += s.busy * s.size, rate += s.rate;
+  for (auto& s : fleet.endpoints) {
+    if (!s.available) continue;
+    size += s.capacity;
+    if (s.utilization >= 0) known += s.capacity, busy += s.utilization * s.capacity, rate += s.attempt_rate;
   }
   double load = known > 0 ? busy / known : kUsualLoad;
   Ms work =
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-Rehearsal rehearse(const AssignerSettings& now, const AssignerSettings& next, const Fleet& fleet,
+Rehearsal rehearse(const AssignerSettings& now, const AssignerSettings& next, const FleetSnapshot& fleet,
                    const ShadowOptions& options) {
   const Settings& policy = now.policy;
   emulator::Fixture f;
@@ -85,20 +85,22 @@
   f.interceptor = options.interceptor, f.out_of_budget = options.out_of_budget;
   f.channel_delay = policy.update_delay.count();
 
-  auto usual = [](const Fleet::JoinedProxy& p) { return p.usual > 0 ? p.usual : kUsualRate; };
+  auto usual = [](const FleetSnapshot::RegisteredProxy& p) {
+    return p.expected_rate > 0 ? p.expected_rate : kUsualRate;
+  };
   double all_usual = 0;
   for (auto& p : fleet.proxies) all_usual += usual(p);
   Traffic traffic = traffic_of(fleet, all_usual);
   for (auto& p : fleet.proxies)
-    f.proxies.push_back({p.id, p.locality, traffic.rate * usual(p) / std::max(1e-9, all_usual), p.from});
-  for (auto& s : fleet.servers) {
-    if (!s.open) continue;
-    int cores = std::max(1, static_cast<int>(std::lround(s.size)));
+    f.proxies.push_back({p.id, p.locality, traffic.rate * usual(p) / std::max(1e-9, all_usual), p.address});
+  for (auto& s : fleet.endpoints) {
+    if (!s.available) continue;
+    int cores = std::max(1, static_cast<int>(std::lround(s.capacity)));
     f.servers.push_back({{.id = s.id,
                           .locality = s.locality,
                           .cell = s.cell,
                           .cores = cores,
-                          .speed = s.size / cores,
+                          .speed = s.capacity / cores,
                           .start_capacity = policy.initial_capacity,
                           .tip_multiple = policy.overload_multiple,
                           .warm_up = policy.warm_up_time.count(),
@@ -126,10 +128,10 @@
   day.assigners = {{now.instance, static_cast<std::uint32_t>(policy.own_locality)}};
   day.redial = now.heartbeat, day.heartbeat = now.heartbeat;
   double came = 0;
-  for (double c : fleet.came) came += c;
+  for (double c : fleet.arrivals_by_class) came += c;
   for (std::size_t c = 0; c < policy.classes.size(); ++c) {
     const RequestClass& rules = policy.classes[c];
-    double share = came <= 0 ? 1 : c < fleet.came.size() ? fleet.came[c] : 0;
+    double share = came <= 0 ? 1 : c < fleet.arrivals_by_class.size() ? fleet.arrivals_by_class[c] : 0;
     day.classes.push_back({share, traffic.work, rules.latency_objective.count(), rules.deadline.count(),
                            rules.semantics == Semantics::idempotent_with_key, false});
   }
--- a/src/gate/shadow.h
+++ b/src/gate/shadow.h
@@ -32,6 +32,6 @@
 
 // The narrow door to the model of servers and proxies, which is the emulator's.
 Rehearsal rehearse(const assigner::AssignerSettings& now, const assigner::AssignerSettings& next,
-                   const assigner::Fleet& fleet, const ShadowOptions& options);
+                   const assigner::FleetSnapshot& fleet, const ShadowOptions& options);
 
 }  // namespace beamshunt::gate
--- a/tests/assigner/rig.h
+++ b/tests/assigner/core_harness.h
@@ -12,7 +12,7 @@
 
 namespace beamshunt::assigner::test {
 
-inline constexpr const char* kSite = R"(
+inline constexpr const char* kSiteConfiguration = R"(
 home: "north"
 listen: channel: "127.10.0.1:7000"
 discovery: "127.10.0.1:7100"
@@ -33,8 +33,9 @@
 }
 )";
 
-inline std::string list_line(const std::string& kind, std::uint64_t version, std::vector<std::uint32_t> ids,
-                             const std::string& state = "in_service") {
+inline std::string endpoint_list_json(const std::string& kind, std::uint64_t version,
+                                      std::vector<std::uint32_t> ids,
+                                      const std::string& state = "in_service") {
   std::string entries;
   for (std::uint32_t id : ids)
     entries += fmt::format(R"({}{{"id":{},"locality":"{}","cell":0,"size":2.0,"state":"{}","started_ms":0,)"
@@ -44,79 +45,81 @@
   return fmt::format(R"({{"kind":"{}","version":{},"entries":[{}]}})", kind, version, entries);
 }
 
-struct Rig {
-  AssignerSettings site = load_assigner_settings({{"site.cue", kSite}});
+struct CoreHarness {
+  AssignerSettings settings = load_assigner_settings({{"site.cue", kSiteConfiguration}});
   Ms now = 1000000;
   Core core;
-  std::map<StreamId, std::vector<channel::Frame>> inbox;
+  std::map<StreamId, std::vector<channel::Frame>> received_frames;
   std::map<StreamId, channel::FrameParser> parsers;
-  std::vector<StreamId> closed;
-  std::vector<Effect> others;
-  std::vector<LogLine> lines;
-  std::string record;
+  std::vector<StreamId> closed_streams;
+  std::vector<Effect> other_effects;
+  std::vector<WriteLogEvent> log_events;
+  std::string flight_record_bytes;
   std::uint64_t next_stream = 1;
 
-  explicit Rig(std::optional<EndpointCatalog> warm = std::nullopt, std::uint64_t epoch = 1)
-      : core(site, epoch, std::move(warm), now, 5e11 + now) {}
+  explicit CoreHarness(std::optional<EndpointCatalog> cached = std::nullopt, std::uint64_t epoch = 1)
+      : core(settings, epoch, std::move(cached), now, 5e11 + now) {}
 
-  void turn() {
+  void run_once() {
     core.run_once(now);
     for (Effect& e : core.take_effects()) {
       if (auto* send = std::get_if<SendBytes>(&e))
-        parsers[send->stream].feed(*send->bytes, inbox[send->stream]);
-      else if (auto* close = std::get_if<CloseStream>(&e)) closed.push_back(close->stream);
-      else if (auto* line = std::get_if<LogLine>(&e)) lines.push_back(*line);
-      else if (auto* part = std::get_if<AppendRecord>(&e)) record += part->bytes;
-      else others.push_back(std::move(e));
+        parsers[send->stream].feed(*send->bytes, received_frames[send->stream]);
+      else if (auto* close = std::get_if<CloseStream>(&e)) closed_streams.push_back(close->stream);
+      else if (auto* event = std::get_if<WriteLogEvent>(&e)) log_events.push_back(*event);
+      else if (auto* append = std::get_if<AppendFlightRecord>(&e)) flight_record_bytes += append->bytes;
+      else other_effects.push_back(std::move(e));
     }
   }
   // Lets time pass as the core asks for it.
-  void pass(Ms time) {
+  void advance(Ms time) {
     for (Ms end = now + time; now < end;) {
       now = std::min(end, std::max(now + 0.5, core.next_due()));
-      turn();
+      run_once();
     }
   }
-  StreamId open(const std::string& from) {
+  StreamId open_stream(const std::string& from) {
     StreamId id{next_stream++};
     core.stream_opened(id, *net::parse_address(from), now);
-    turn();
+    run_once();
     return id;
   }
-  void say(StreamId id, const channel::Frame& frame) { bytes(id, channel::encode(frame)); }
-  void bytes(StreamId id, std::string_view text) {
-    core.stream_bytes(id, text, now);
-    turn();
+  void send_frame(StreamId id, const channel::Frame& frame) { send_bytes(id, channel::encode(frame)); }
+  void send_bytes(StreamId id, std::string_view text) {
+    core.stream_bytes_received(id, text, now);
+    run_once();
   }
-  StreamId join(std::uint32_t proxy, std::uint64_t incarnation = 1, std::uint32_t attempt = 1,
-                bool south = false) {
-    StreamId id = open(fmt::format("127.{}.1.{}:40000", south ? 20 : 10, proxy + 1));
-    say(id, channel::Hello{.proxy = proxy,
-                           .incarnation = incarnation,
-                           .attempt = attempt,
-                           .locality = south ? "south" : "north",
-                           .expected_rate = 10,
-                           .only_static_tables = true});
+  StreamId register_proxy(std::uint32_t proxy, std::uint64_t incarnation = 1, std::uint32_t attempt = 1,
+                          bool south = false) {
+    StreamId id = open_stream(fmt::format("127.{}.1.{}:40000", south ? 20 : 10, proxy + 1));
+    send_frame(id, channel::Hello{.proxy = proxy,
+                                  .incarnation = incarnation,
+                                  .attempt = attempt,
+                                  .locality = south ? "south" : "north",
+                                  .expected_rate = 10,
+                                  .only_static_tables = true});
     return id;
   }
-  void list(const std::string& line) {
+  void deliver_endpoint_list(const std::string& line) {
     core.endpoint_list_received(line, now, 5e11 + now);
-    turn();
+    run_once();
   }
   template <typename T>
-  std::vector<T> got(StreamId id) {
+  std::vector<T> received(StreamId id) {
     std::vector<T> out;
-    for (auto& f : inbox[id])
+    for (auto& f : received_frames[id])
       if (auto* frame = std::get_if<T>(&f)) out.push_back(*frame);
     return out;
   }
-  bool is_closed(StreamId id) const { return std::count(closed.begin(), closed.end(), id) > 0; }
-  std::string refusal(StreamId id) {
-    auto all = got<channel::Refuse>(id);
+  bool is_closed(StreamId id) const {
+    return std::count(closed_streams.begin(), closed_streams.end(), id) > 0;
+  }
+  std::string refusal_reason(StreamId id) {
+    auto all = received<channel::Refuse>(id);
     return all.empty() ? "" : all.back().reason;
   }
-  bool logged(const std::string& event, const std::string& part = "") const {
-    for (const LogLine& l : lines) {
+  bool has_logged(const std::string& event, const std::string& part = "") const {
+    for (const WriteLogEvent& l : log_events) {
       if (l.event != event) continue;
       if (part.empty()) return true;
       for (auto& [name, value] : l.fields)
@@ -125,9 +128,9 @@
     return false;
   }
   // What a proxy holds by the orders that came: lines by class.
-  std::map<std::uint32_t, std::map<std::uint32_t, double>> tables(StreamId id) {
+  std::map<std::uint32_t, std::map<std::uint32_t, double>> weight_tables(StreamId id) {
     std::map<std::uint32_t, std::map<std::uint32_t, double>> out;
-    for (auto& message : got<channel::UpdateMessage>(id))
+    for (auto& message : received<channel::UpdateMessage>(id))
       for (auto& order : message.updates) {
         if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
           if (line->weight > 0) out[line->table][line->endpoint] = line->weight;
@@ -138,13 +141,13 @@
     return out;
   }
   // Keeps a proxy's stream alive and its orders confirmed for a time.
-  void live(std::vector<StreamId> streams, Ms time) {
-    for (Ms end = now + time; now < end; pass(50))
+  void advance_responsive(std::vector<StreamId> streams, Ms time) {
+    for (Ms end = now + time; now < end; advance(50))
       for (StreamId id : streams) {
         if (is_closed(id)) continue;
-        auto orders = got<channel::UpdateMessage>(id);
-        if (!orders.empty()) say(id, channel::Acknowledgement{orders.back().sequence});
-        else say(id, channel::Ping{1});
+        auto orders = received<channel::UpdateMessage>(id);
+        if (!orders.empty()) send_frame(id, channel::Acknowledgement{orders.back().sequence});
+        else send_frame(id, channel::Ping{1});
       }
   }
 };
--- a/tests/assigner/parts_test.cpp
+++ b/tests/assigner/parts_test.cpp
@@ -5,16 +5,16 @@
 #include <tuple>
 
 #include "assigner/cached_list_codec.h"
+#include "assigner/core_harness.h"
 #include "assigner/endpoint_list_json.h"
 #include "assigner/report_intake.h"
-#include "assigner/rig.h"
 
 namespace beamshunt::assigner::test {
 namespace {
 
 std::string refused(const std::string& more) {
   try {
-    load_assigner_settings({{"site.cue", kSite}, {"more.cue", more}});
+    load_assigner_settings({{"site.cue", kSiteConfiguration}, {"more.cue", more}});
   } catch (const config::ConfigError& error) {
     return error.what();
   }
@@ -22,7 +22,7 @@
 }
 
 TEST(SiteSettings, DefaultsBoundsAndMeaning) {
-  AssignerSettings site = load_assigner_settings({{"site.cue", kSite}});
+  AssignerSettings site = load_assigner_settings({{"site.cue", kSiteConfiguration}});
   EXPECT_EQ(site.policy.classes.size(), 2u);
   EXPECT_TRUE(site.policy.classes[1].local_only);
   EXPECT_EQ(site.policy.max_messages_per_window, 30);
@@ -50,16 +50,21 @@
     }
     return std::string("taken");
   };
-  EXPECT_NE(load(kSite, "home: \"north\"", "home: \"west\"").find("home: \"west\" is no locality"),
+  EXPECT_NE(
+      load(kSiteConfiguration, "home: \"north\"", "home: \"west\"").find("home: \"west\" is no locality"),
+      std::string::npos);
+  EXPECT_NE(load(kSiteConfiguration, "127.20.0.0/16", "127.10.0.0/16").find("is given twice"),
             std::string::npos);
-  EXPECT_NE(load(kSite, "127.20.0.0/16", "127.10.0.0/16").find("is given twice"), std::string::npos);
-  EXPECT_NE(load(kSite, "\"write\"", "\"read\"").find("site.classes[1].name: \"read\" is given twice"),
+  EXPECT_NE(
+      load(kSiteConfiguration, "\"write\"", "\"read\"").find("site.classes[1].name: \"read\" is given twice"),
+      std::string::npos);
+  EXPECT_NE(load(kSiteConfiguration, "deadline: 2s", "deadline: 1ms").find("deadline: is under the slo"),
             std::string::npos);
-  EXPECT_NE(load(kSite, "deadline: 2s", "deadline: 1ms").find("deadline: is under the slo"),
+  EXPECT_NE(load(kSiteConfiguration, "semantics: \"retryable\"", "semantics: \"dedup\"")
+                .find("needs a window above 0"),
             std::string::npos);
-  EXPECT_NE(load(kSite, "semantics: \"retryable\"", "semantics: \"dedup\"").find("needs a window above 0"),
+  EXPECT_NE(load(kSiteConfiguration, "instance: 7", "instance: 0").find("an instance is given twice"),
             std::string::npos);
-  EXPECT_NE(load(kSite, "instance: 7", "instance: 0").find("an instance is given twice"), std::string::npos);
 }
 
 // The wall clock steps while an endpoint runs. Computed anew, its start would move, and the policy would take
@@ -105,7 +110,7 @@
 
 // Who handles a bad setting, list or file by program needs its parts, not only the text of the message.
 TEST(TypedErrors, NameTheFieldTheValueAndWhatWasExpected) {
-  std::string text = kSite;
+  std::string text = kSiteConfiguration;
   text.replace(text.find("home: \"north\""), 13, "home: \"west\"");
   try {
     load_assigner_settings({{"site.cue", text}});
@@ -145,7 +150,7 @@
       intake.add_endpoint_report(Locality{0}, {e, 10, 2, 20.0 + report, {{"utilization", 0.1 * report}}},
                                  report * 100.0, report * 100.0 + 100);
   intake.add_demand_report(ProxyId{1}, {0, 5, 1}, 0, 100);
-  EXPECT_EQ(intake.waiting(), 9u);
+  EXPECT_EQ(intake.pending_entries(), 9u);
   auto first = intake.release(500);
   ASSERT_EQ(first.size(), 5u);
   auto& heard = std::get<EndpointReport>(first[0]);
@@ -158,7 +163,7 @@
   auto second = intake.release(1000);
   ASSERT_EQ(second.size(), 4u);
   EXPECT_EQ(std::get<DemandReport>(second[3]).arrivals, 5);
-  EXPECT_EQ(intake.waiting(), 0u);
+  EXPECT_EQ(intake.pending_entries(), 0u);
 }
 
 // No reports come for a minute, then many at once. The policy is given a second's worth, not a minute's.
@@ -169,8 +174,8 @@
   for (std::uint32_t e = 1; e <= 100; ++e) intake.add_endpoint_report(Locality{0}, {e, 1, 0, 20, {}}, 0, 100);
   EXPECT_EQ(intake.release(60000).size(), 10u);
   intake.add_demand_report(ProxyId{1}, {0, 5, 1}, 0, 100);
-  intake.forget_proxy(ProxyId{1});
-  EXPECT_EQ(intake.waiting(), 90u);
+  intake.remove_proxy(ProxyId{1});
+  EXPECT_EQ(intake.pending_entries(), 90u);
 }
 
 }  // namespace
--- a/tests/assigner/streamed_configuration_test.cpp
+++ b/tests/assigner/streamed_configuration_test.cpp
@@ -5,8 +5,8 @@
 
 #include <tuple>
 
+#include "assigner/core_harness.h"
 #include "assigner/fleet_constraints.h"
-#include "assigner/rig.h"
 #include "flight_record/replay.h"
 
 namespace beamshunt::assigner::test {
@@ -14,7 +14,7 @@
 
 using config_stream::Resources;
 
-const std::vector<config::Source> kFiles{{"site.cue", kSite}};
+const std::vector<config::Source> kFiles{{"site.cue", kSiteConfiguration}};
 
 ComposedSettings with(const std::string& type, const std::string& body) {
   return compose(kFiles, {{{type, "site"}, {7, body}}});
@@ -56,7 +56,7 @@
 // Every field of the schema says how a change of it takes effect, and every one that may be streamed has a
 // type.
 TEST(StreamedConfiguration, EveryFieldOfTheSchemaHasAWayToTakeEffect) {
-  std::string all = kSite;
+  std::string all = kSiteConfiguration;
   all += R"(
 admit: ["127.0.0.0/8"]
 listen: admin: "127.10.0.1:7001"
@@ -134,12 +134,12 @@
     } catch (const config::ConfigError& error) {
       FAIL() << path << ": " << error.what();
     }
-    Rig rig;
-    rig.list(list_line("total", 1, {2, 4, 5}));
-    rig.live({rig.join(0)}, 300);
-    rig.core.reconfigure(next, 2, 99, rig.now);
-    EXPECT_EQ(rig.core.handover_in_progress(), takes_effect(path) == TakesEffect::fresh_module) << path;
-    EXPECT_FALSE(rig.core.take_effects().empty());
+    CoreHarness harness;
+    harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2, 4, 5}));
+    harness.advance_responsive({harness.register_proxy(0)}, 300);
+    harness.core.reconfigure(next, 2, 99, harness.now);
+    EXPECT_EQ(harness.core.handover_in_progress(), takes_effect(path) == TakesEffect::fresh_module) << path;
+    EXPECT_FALSE(harness.core.take_effects().empty());
   }
 }
 
@@ -149,8 +149,8 @@
   std::map<int, std::uint32_t> of_class;
   std::size_t seen = 0;
   bool ever_empty = false;
-  void follow(Rig& rig, StreamId id) {
-    auto all = rig.got<channel::UpdateMessage>(id);
+  void follow(CoreHarness& harness, StreamId id) {
+    auto all = harness.received<channel::UpdateMessage>(id);
     for (; seen < all.size(); ++seen) {
       for (auto& order : all[seen].updates) {
         if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
@@ -173,19 +173,20 @@
 };
 
 struct Takeover : testing::Test {
-  Rig rig;
+  CoreHarness harness;
   std::vector<StreamId> streams;
   std::map<StreamId, Held> held;
 
   void begin(int proxies) {
-    rig.list(list_line("total", 1, {2, 4, 6, 5, 7, 9}));
-    for (int k = 0; k < proxies; ++k) streams.push_back(rig.join(static_cast<std::uint32_t>(k)));
+    harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2, 4, 6, 5, 7, 9}));
+    for (int k = 0; k < proxies; ++k)
+      streams.push_back(harness.register_proxy(static_cast<std::uint32_t>(k)));
     go(3000);
   }
   void go(Ms time) {
-    for (Ms end = rig.now + time; rig.now < end;) {
-      rig.live(streams, 50);
-      for (StreamId id : streams) held[id].follow(rig, id);
+    for (Ms end = harness.now + time; harness.now < end;) {
+      harness.advance_responsive(streams, 50);
+      for (StreamId id : streams) held[id].follow(harness, id);
     }
   }
   AssignerSettings changed(const std::string& text) {
@@ -197,17 +198,17 @@
 // in between would fail its requests.
 TEST_F(Takeover, NoProxyIsEverWithoutLinesAndAllAreTakenOver) {
   begin(6);
-  rig.core.reconfigure(changed("site: guarantees: warm_up: 5s"), 2, 99, rig.now);
+  harness.core.reconfigure(changed("site: guarantees: warm_up: 5s"), 2, 99, harness.now);
   go(4000);
-  EXPECT_FALSE(rig.core.handover_in_progress());
-  EXPECT_TRUE(rig.logged("controller_replaced"));
+  EXPECT_FALSE(harness.core.handover_in_progress());
+  EXPECT_TRUE(harness.has_logged("controller_replaced"));
   for (StreamId id : streams) {
     EXPECT_FALSE(held[id].ever_empty);
-    EXPECT_FALSE(rig.is_closed(id)) << rig.refusal(id);
+    EXPECT_FALSE(harness.is_closed(id)) << harness.refusal_reason(id);
     for (auto& [c, table] : held[id].of_class) EXPECT_GE(table, 1u << 16) << "still on a former table";
     EXPECT_TRUE(held[id].has(2));
   }
-  flight_record::ReplayResult replay = flight_record::replay(rig.record);
+  flight_record::ReplayResult replay = flight_record::replay(harness.flight_record_bytes);
   EXPECT_TRUE(replay.same()) << replay.difference;
   EXPECT_EQ(replay.replacements, 1u);
   EXPECT_EQ(replay.config_changes, 1u);
@@ -217,19 +218,19 @@
 TEST_F(Takeover, ADrainReachesThoseThatAreNotTakenOverYet) {
   begin(12);
   std::string slow = "site: {proxies: 12, channel: {lines_per_s: 80/s, most_waiting_lines: 200}}";
-  rig.core.reconfigure(changed(slow), 2, 99, rig.now);
+  harness.core.reconfigure(changed(slow), 2, 99, harness.now);
   go(150);
-  ASSERT_TRUE(rig.core.handover_in_progress());
+  ASSERT_TRUE(harness.core.handover_in_progress());
   std::size_t former = 0;
   for (StreamId id : streams)
     for (auto& [c, table] : held[id].of_class) former += table < 1u << 16;
   ASSERT_GT(former, 0u);
-  rig.list(list_line("changes", 2, {2}, "terminating"));
+  harness.deliver_endpoint_list(endpoint_list_json("changes", 2, {2}, "terminating"));
   go(9000);
   for (StreamId id : streams) EXPECT_FALSE(held[id].has(2));
   for (StreamId id : streams) EXPECT_FALSE(held[id].ever_empty);
-  EXPECT_FALSE(rig.core.handover_in_progress());
-  EXPECT_TRUE(flight_record::replay(rig.record).same());
+  EXPECT_FALSE(harness.core.handover_in_progress());
+  EXPECT_TRUE(flight_record::replay(harness.flight_record_bytes).same());
 }
 
 // Version after version starts a new controller, which knows nothing of the messages that the former one
@@ -237,15 +238,16 @@
 TEST_F(Takeover, MessagesAndLinesOfBothModulesTogetherKeepTheLimits) {
   begin(6);
   std::string few = "site: channel: {messages: 6, span: 3s}";
-  rig.core.reconfigure(changed(few), 2, 99, rig.now);
+  harness.core.reconfigure(changed(few), 2, 99, harness.now);
   go(4000);
   int times_taken = 0;
   for (int k = 0; k < 12; ++k) {  // a fresh module each 300 ms would forget what its formers sent
     AssignerSettings next = changed(few + fmt::format("\nsite: proxies: {}", 7 + k));
-    if (rig.core.may_reconfigure(next, rig.now)) rig.core.reconfigure(next, 3, 99, rig.now), ++times_taken;
+    if (harness.core.may_reconfigure(next, harness.now))
+      harness.core.reconfigure(next, 3, 99, harness.now), ++times_taken;
     for (int step = 0; step < 6; ++step) {
       go(50);
-      EXPECT_LE(rig.core.unacknowledged_lines(), 2000);
+      EXPECT_LE(harness.core.unacknowledged_lines(), 2000);
     }
   }
   go(3000);
@@ -253,13 +255,13 @@
   EXPECT_LT(times_taken, 12);
   for (StreamId id : streams) {
     std::vector<Ms> times;
-    for (auto& m : rig.got<channel::UpdateMessage>(id))
+    for (auto& m : harness.received<channel::UpdateMessage>(id))
       if (m.decided_at_ms > 1007500) times.push_back(m.decided_at_ms);
     for (std::size_t k = 6; k < times.size(); ++k)
       EXPECT_GT(times[k] - times[k - 6], 3000) << "message " << k << " of proxy stream";
     EXPECT_FALSE(held[id].ever_empty);
   }
-  EXPECT_FALSE(rig.core.handover_in_progress());
+  EXPECT_FALSE(harness.core.handover_in_progress());
 }
 
 // While the handover is under way a proxy leaves, another joins and one returns. Each must be taken over
@@ -267,27 +269,27 @@
 TEST_F(Takeover, ProxiesThatComeGoOrReturnMeanwhileFindTheirPlace) {
   begin(8);
   std::string slow = "site: {proxies: 12, channel: {lines_per_s: 60/s, most_waiting_lines: 60}}";
-  rig.core.reconfigure(changed(slow), 2, 99, rig.now);
+  harness.core.reconfigure(changed(slow), 2, 99, harness.now);
   go(100);
-  rig.core.stream_closed(streams[7], "reset", rig.now);
+  harness.core.stream_closed(streams[7], "reset", harness.now);
   streams.pop_back();
-  streams.push_back(rig.join(20));
-  streams.push_back(rig.join(7, 1, 2));
+  streams.push_back(harness.register_proxy(20));
+  streams.push_back(harness.register_proxy(7, 1, 2));
   go(8000);
-  EXPECT_FALSE(rig.core.handover_in_progress());
+  EXPECT_FALSE(harness.core.handover_in_progress());
   for (StreamId id : streams) {
-    EXPECT_FALSE(rig.is_closed(id)) << rig.refusal(id);
+    EXPECT_FALSE(harness.is_closed(id)) << harness.refusal_reason(id);
     EXPECT_TRUE(held[id].has(4));
     EXPECT_FALSE(held[id].ever_empty);
   }
-  EXPECT_TRUE(flight_record::replay(rig.record).same());
+  EXPECT_TRUE(flight_record::replay(harness.flight_record_bytes).same());
 }
 
 TEST_F(Takeover, HeartbeatAndPeriodAreToldToThoseThatAreJoined) {
   begin(1);
-  rig.core.reconfigure(changed("streams: heartbeat: 70ms"), 2, 99, rig.now);
+  harness.core.reconfigure(changed("streams: heartbeat: 70ms"), 2, 99, harness.now);
   go(100);
-  auto welcomes = rig.got<channel::Welcome>(streams[0]);
+  auto welcomes = harness.received<channel::Welcome>(streams[0]);
   ASSERT_EQ(welcomes.size(), 2u);
   EXPECT_EQ(welcomes[1].heartbeat_ms, 70);
   EXPECT_EQ(welcomes[1].epoch, welcomes[0].epoch);
@@ -297,11 +299,11 @@
 // they are connected would make them take one for another: it is rejected with its reason.
 TEST_F(Takeover, WhatJoinedProxiesAndListsGoByCannotChange) {
   begin(2);
-  Fleet fleet = rig.core.fleet(rig.now);
-  EXPECT_EQ(fleet.servers.size(), 6u);
+  FleetSnapshot fleet = harness.core.fleet(harness.now);
+  EXPECT_EQ(fleet.endpoints.size(), 6u);
   EXPECT_EQ(fleet.proxies.size(), 2u);
   auto why = [&](const std::string& text) {
-    auto reasons = fleet_conflicts(rig.site, changed(text), fleet);
+    auto reasons = fleet_conflicts(harness.settings, changed(text), fleet);
     return reasons.empty() ? "" : reasons[0].path + ": " + reasons[0].reason;
   };
   EXPECT_EQ(why("site: proxies: 9"), "");
--- a/tests/gate/gate_test.cpp
+++ b/tests/gate/gate_test.cpp
@@ -22,24 +22,24 @@
   return kSite;
 }
 
-Fleet fleet_of(test::Fleet kind) {
-  Fleet f;
+FleetSnapshot fleet_of(test::Fleet kind) {
+  FleetSnapshot f;
   std::uint32_t servers = kind == test::Fleet::large ? 40 : 8;
   for (std::uint32_t k = 0; k < servers; ++k) {
-    Fleet::Server s{100 + k, k % 2, k / 6, 2.0};
-    s.rate = 40, s.busy = 0.55;
+    FleetSnapshot::Endpoint s{100 + k, k % 2, k / 6, 2.0};
+    s.attempt_rate = 40, s.utilization = 0.55;
     s.address = {127u << 24 | (k % 2 ? 20u : 10u) << 16 | 2u << 8 | (k + 1), 8000};
-    s.open = kind != test::Fleet::south_gone || k % 2 == 0;
-    if (kind == test::Fleet::one_cold && k == 3) s.up_for = 600;
-    f.servers.push_back(s);
+    s.available = kind != test::Fleet::south_gone || k % 2 == 0;
+    if (kind == test::Fleet::one_cold && k == 3) s.uptime = 600;
+    f.endpoints.push_back(s);
   }
   for (std::uint32_t k = 0; k < 8; ++k) {
-    Fleet::JoinedProxy p{k, k % 2, 40, 3};
-    if (kind == test::Fleet::busy_channel && k == 5) p.spent = 12;
-    p.from = {127u << 24 | (k % 2 ? 20u : 10u) << 16 | 1u << 8 | (k + 1), 40000};
+    FleetSnapshot::RegisteredProxy p{k, k % 2, 40, 3};
+    if (kind == test::Fleet::busy_channel && k == 5) p.messages_in_window = 12;
+    p.address = {127u << 24 | (k % 2 ? 20u : 10u) << 16 | 1u << 8 | (k + 1), 40000};
     f.proxies.push_back(p);
   }
-  f.came = {500, 250, 200};
+  f.arrivals_by_class = {500, 250, 200};
   f.streams = 10;
   return f;
 }
@@ -51,7 +51,7 @@
   std::vector<std::string> changed;
   if (std::string(change.type) != assigner::kAlertsType)
     for (auto& [path, at] : config::given_paths({"next", change.body})) changed.push_back(path);
-  Fleet fleet = fleet_of(change.fleet);
+  FleetSnapshot fleet = fleet_of(change.fleet);
   return gate({present(), *composed.settings, fleet, resources, changed});
 }
 
@@ -141,8 +141,8 @@
 }
 
 TEST(Gate, AFaultThatIsThereAlreadyIsNotTheChanges) {
-  Fleet fleet = fleet_of(test::Fleet::warm);
-  for (std::uint32_t k = 8; k < 400; ++k) fleet.proxies.push_back({k, 0, 40, 0, fleet.proxies[0].from});
+  FleetSnapshot fleet = fleet_of(test::Fleet::warm);
+  for (std::uint32_t k = 8; k < 400; ++k) fleet.proxies.push_back({k, 0, 40, 0, fleet.proxies[0].address});
   AssignerSettings next = present();
   next.policy.connection_idle_timeout = Duration(9000);
   EXPECT_TRUE(prove(present(), next, fleet).empty()) << "the fleet grew; idle times did not do it";
@@ -151,7 +151,7 @@
 }
 
 TEST(Shadow, IsTheSameEachTimeAndSeesTheDayItPlays) {
-  Fleet fleet = fleet_of(test::Fleet::warm);
+  FleetSnapshot fleet = fleet_of(test::Fleet::warm);
   Rehearsal one = rehearse(present(), present(), fleet, {}), two = rehearse(present(), present(), fleet, {});
   EXPECT_EQ(one.requests, two.requests);
   EXPECT_EQ(one.service, two.service);
