--- a/src/platform/ack_tracker.cpp
+++ b/src/platform/ack_tracker.cpp
@@ -5,27 +5,29 @@
 namespace beamshunt::platform {
 namespace {
 
-constexpr std::uint64_t kNoController = 0;  // controllers are numbered from 1
-// ms that an ack may take beyond the channel's longest delay: the proxy's and the network's own time.
-constexpr Ms kAckSlack = 1000;
-// ms without an ack where no later message was acknowledged: the channel itself may be slow for that long.
+constexpr std::uint64_t kNoController = 0;  // controller numbers start at 1
+// Allowance in ms for the proxy and the network, added to the channel's maximum delay before an ack is
+// overdue.
+constexpr Ms kAckTolerance = 1000;
+// Time in ms after which an ack is overdue if no later message was acknowledged. The channel itself may delay
+// messages for this long.
 constexpr Ms kMaxAckWait = 20000;
-// ms that a delivery is remembered: well past the longest wait that is compared with it.
-constexpr Ms kDeliveryMemory = 60000;
-// Released nonces remembered of a stream: more are never on their way.
+// Time in ms for which a delivery is kept: well above the longest delay that is compared with it.
+constexpr Ms kDeliveryRetention = 60000;
+// Maximum number of released nonces kept per stream: a stream never has more acks in flight.
 constexpr std::size_t kMaxReleasedNonces = 256;
 
 }  // namespace
 
 void AckTracker::start_controller() {
   ++controller_;
-  other_lines_ = 0;
+  external_lines_ = 0;
 }
 
 void AckTracker::carry_over(ConnectionId connection) {
   auto stream = streams_.find(connection);
   if (stream == streams_.end()) return;
-  for (const Nonce& nonce : stream->second.unacknowledged) other_lines_ += nonce.lines;
+  for (const Nonce& nonce : stream->second.unacknowledged) external_lines_ += nonce.lines;
 }
 
 void AckTracker::add(ConnectionId connection, ProxyId proxy, const Nonce& nonce) {
@@ -42,8 +44,8 @@
 void AckTracker::add_liveness_check(ConnectionId connection, ProxyId proxy, std::uint32_t nonce, double lines,
                                     Ms now) {
   add(connection, proxy, {nonce, 0, ++last_position_, now, kNoController, lines});
-  other_lines_ += lines;
-  outputs_.events.emplace_back(SharedChannelUsage{other_lines_, {{proxy, 1}}});
+  external_lines_ += lines;
+  outputs_.events.emplace_back(SharedChannelUsage{external_lines_, {{proxy, 1}}});
 }
 
 AckTracker::AckResult AckTracker::acknowledge(ConnectionId connection, std::uint32_t nonce, Ms now) {
@@ -73,8 +75,8 @@
       outputs_.events.emplace_back(
           UpdateAcknowledged{stream.proxy, Duration(now - nonce.sent_at), nonce.sequence_number});
     } else {
-      other_lines_ -= nonce.lines;
-      outputs_.events.emplace_back(SharedChannelUsage{other_lines_, {}});
+      external_lines_ -= nonce.lines;
+      outputs_.events.emplace_back(SharedChannelUsage{external_lines_, {}});
     }
   }
 }
@@ -84,7 +86,7 @@
   return stream != streams_.end() && !stream->second.unacknowledged.empty();
 }
 
-std::optional<Ms> AckTracker::overdue_since_sent(ConnectionId connection, Ms max_update_delay, Ms now) const {
+std::optional<Ms> AckTracker::overdue_sent_at(ConnectionId connection, Ms max_update_delay, Ms now) const {
   if (!has_unacknowledged(connection)) return std::nullopt;
   const Nonce& oldest = streams_.at(connection).unacknowledged.front();
   if (!is_overdue(oldest, max_update_delay, now)) return std::nullopt;
@@ -96,7 +98,7 @@
       deliveries_.begin(), deliveries_.end(), nonce.position,
       [](std::uint64_t position, const Delivery& delivery) { return position < delivery.position; });
   if (later == deliveries_.end()) return now > nonce.sent_at + kMaxAckWait;
-  return now > later->acknowledged_at + max_update_delay + kAckSlack;
+  return now > later->acknowledged_at + max_update_delay + kAckTolerance;
 }
 
 void AckTracker::release_oldest(ConnectionId connection, Ms now) {
@@ -106,15 +108,15 @@
 void AckTracker::remove(ConnectionId connection) {
   auto stream = streams_.find(connection);
   if (stream == streams_.end()) return;
-  const double before = other_lines_;
+  const double before = external_lines_;
   for (const Nonce& nonce : stream->second.unacknowledged)
-    if (nonce.controller != controller_) other_lines_ -= nonce.lines;
+    if (nonce.controller != controller_) external_lines_ -= nonce.lines;
   streams_.erase(stream);
-  if (other_lines_ != before) outputs_.events.emplace_back(SharedChannelUsage{other_lines_, {}});
+  if (external_lines_ != before) outputs_.events.emplace_back(SharedChannelUsage{external_lines_, {}});
 }
 
-void AckTracker::forget_old_deliveries(Ms now) {
-  while (deliveries_.size() > 1 && deliveries_.front().acknowledged_at < now - kDeliveryMemory)
+void AckTracker::discard_old_deliveries(Ms now) {
+  while (deliveries_.size() > 1 && deliveries_.front().acknowledged_at < now - kDeliveryRetention)
     deliveries_.pop_front();
 }
 
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -11,52 +11,51 @@
 
 using nlohmann::json;
 
-constexpr double kMaxSockets = 1 << 20;  // descriptors: more than any process may hold
-constexpr int kSeedBase = 16;            // the seed is written in hexadecimal
+constexpr double kMaxDescriptorLimit = 1 << 20;  // above the descriptor limit of any process
+constexpr int kSeedBase = 16;                    // the configuration gives the seed in hexadecimal
 
-// `problem` completes the sentence "field NAME ...".
+// Throws ConfigurationError with the message "field <name> <problem>".
 [[noreturn]] void fail_field(const std::string& name, const std::string& problem, std::string value,
                              std::string expected) {
   throw ConfigurationError("field " + name + " " + problem,
                            {"", name, std::move(value), std::move(expected)});
 }
 
-std::string printable(const json& value) {
-  return value.dump(-1, ' ', false, json::error_handler_t::replace);
-}
+std::string to_text(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-const json& field(const json& object, const char* name) {
+const json& required_field(const json& object, const char* name) {
   auto found = object.find(name);
   if (found == object.end()) fail_field(name, "is missing", "", "the field");
   return *found;
 }
 
-std::string text(const json& object, const char* name) {
-  const json& value = field(object, name);
-  if (!value.is_string()) fail_field(name, "is no text", printable(value), "a text");
+std::string string_field(const json& object, const char* name) {
+  const json& value = required_field(object, name);
+  if (!value.is_string()) fail_field(name, "is not a string", to_text(value), "a string");
   return value.get<std::string>();
 }
 
-net::Address address(const json& object, const char* name) {
-  std::string given = text(object, name);
-  auto parsed = net::parse_address(given);
-  if (!parsed) fail_field(name, "is no address: '" + given + "'", given, "IPv4 address:port");
+net::Address address_field(const json& object, const char* name) {
+  std::string value = string_field(object, name);
+  auto parsed = net::parse_address(value);
+  if (!parsed) fail_field(name, "is not a valid address: '" + value + "'", value, "<IPv4 address>:<port>");
   return *parsed;
 }
 
-std::uint64_t seed(const json& object) {
-  std::string given = text(object, "seed");
-  auto parsed = base::parse_number<std::uint64_t>(given, kSeedBase);
-  if (!parsed) fail_field("seed", "is no hexadecimal number: '" + given + "'", given, "a hexadecimal number");
+std::uint64_t seed_field(const json& object) {
+  std::string value = string_field(object, "seed");
+  auto parsed = base::parse_number<std::uint64_t>(value, kSeedBase);
+  if (!parsed)
+    fail_field("seed", "is not a hexadecimal number: '" + value + "'", value, "a hexadecimal number");
   return *parsed;
 }
 
-std::size_t sockets(const json& object) {
-  const json& limits = field(object, "limits");
-  const json& count = limits.is_object() ? field(limits, "sockets") : limits;
-  if (!count.is_number_integer() || count.get<double>() < 1 || count.get<double>() > kMaxSockets)
-    fail_field("limits.sockets", "is no number of descriptors", printable(count),
-               "a whole number from 1 to " + std::to_string(static_cast<int>(kMaxSockets)));
+std::size_t descriptor_limit_field(const json& object) {
+  const json& limits = required_field(object, "limits");
+  const json& count = limits.is_object() ? required_field(limits, "sockets") : limits;
+  if (!count.is_number_integer() || count.get<double>() < 1 || count.get<double>() > kMaxDescriptorLimit)
+    fail_field("limits.sockets", "is not a valid number of descriptors", to_text(count),
+               "an integer from 1 to " + std::to_string(static_cast<int>(kMaxDescriptorLimit)));
   return count.get<std::size_t>();
 }
 
@@ -64,8 +63,9 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// The nested object in the form of the simulator's pairs, which the settings' reader takes: lists of plain
-// values joined by commas, lists of objects by number with their length under .count.
+// Converts the nested settings object to the simulator's flat path=value form, which settings::parse()
+// accepts: an array of plain values becomes one value joined by commas; the elements of an array of objects
+// are addressed by index, with the array's length under ".count".
 void flatten(const json& value, const std::string& path, settings::Values& values) {
   std::string prefix = path.empty() ? path : path + ".";
   if (value.is_object()) {
@@ -90,23 +90,23 @@
 Configuration parse_configuration(std::string_view bytes) {
   json object = json::parse(bytes, nullptr, false);
   if (!object.is_object())
-    throw ConfigurationError("the configuration is no JSON object", {.expected = "a JSON object"});
+    throw ConfigurationError("the configuration is not a JSON object", {.expected = "a JSON object"});
   Configuration configuration;
-  configuration.name = text(object, "name");
-  configuration.listen = address(object, "listen");
-  configuration.discovery = address(object, "discovery");
-  configuration.seed = seed(object);
-  configuration.sockets = sockets(object);
+  configuration.name = string_field(object, "name");
+  configuration.listen = address_field(object, "listen");
+  configuration.discovery = address_field(object, "discovery");
+  configuration.seed = seed_field(object);
+  configuration.descriptor_limit = descriptor_limit_field(object);
   if (auto cached = object.find("known"); cached != object.end() && cached->is_object())
     configuration.cached_list = cached->dump();
-  const json& settings_object = field(object, "settings");
+  const json& settings_object = required_field(object, "settings");
   if (!settings_object.is_object())
-    fail_field("settings", "is no object", printable(settings_object), "an object");
+    fail_field("settings", "is not an object", to_text(settings_object), "an object");
   flatten(settings_object, "", configuration.values);
   try {
     std::tie(configuration.settings, configuration.names) =
         settings::parse(configuration.seed, configuration.values);
-  } catch (const settings::InputError& error) {  // names the setting by its path
+  } catch (const settings::InputError& error) {  // what() names the setting by its path
     throw ConfigurationError(error.what(), {.field = "settings"});
   }
   return configuration;
@@ -115,8 +115,8 @@
 Configuration read_configuration(const std::string& file) {
   auto bytes = base::read_file(file);
   if (!bytes)
-    throw ConfigurationError("configuration " + file + ": there is no such file",
-                             {.file = file, .expected = "a file"});
+    throw ConfigurationError("configuration " + file + ": the file does not exist",
+                             {.file = file, .expected = "an existing file"});
   try {
     return parse_configuration(*bytes);
   } catch (const ConfigurationError& error) {
--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -1,5 +1,5 @@
-// The configuration that the platform gives an assigner: one JSON file, read at the start and again at
-// SIGHUP. It is decoded here and nowhere else.
+// The configuration that the platform provides for an assigner: a JSON file that is read at the start and
+// again on SIGHUP. Only this module decodes it.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +14,15 @@
 
 namespace beamshunt::platform {
 
-// A configuration that can't be used. what() names the field and what is wrong, and the file where it is
-// known.
+// The configuration is missing or invalid. what() names the invalid field, the problem and, if known, the
+// file.
 struct ConfigurationError : std::runtime_error {
-  // Each is empty where it is not known.
+  // A member is empty if it is not known or does not apply.
   struct Detail {
     std::string file;
     std::string field;
-    std::string value;  // as given
-    std::string expected;
+    std::string value;     // value as written in the file
+    std::string expected;  // description of a valid value
   };
   ConfigurationError(const std::string& what, Detail error_detail)
       : std::runtime_error(what), detail(std::move(error_detail)) {}
@@ -30,23 +30,23 @@
 };
 
 struct Configuration {
-  std::string name;     // of this assigner, the same after a restart
-  net::Address listen;  // where proxies and collectors connect
+  std::string name;     // name of this assigner; stays the same across restarts
+  net::Address listen;  // address to which proxies and collectors connect
   net::Address discovery;
-  std::uint64_t seed = 0;   // for random numbers, new with each start
-  std::size_t sockets = 0;  // descriptors that this process may hold
-  // Discovery's object as this assigner last had it, given by the platform (`known`); empty: none. This
-  // process stores nothing itself.
+  std::uint64_t seed = 0;            // seed for random numbers; differs at each start
+  std::size_t descriptor_limit = 0;  // maximum number of open file descriptors of this process
+  // The endpoint list that this assigner last received from discovery, as a JSON object; empty if there is
+  // none. The platform stores the list and passes it in (field `known`), because this process stores nothing.
   std::string cached_list;
-  settings::Values values;  // the settings by path, as given
-  Settings settings;        // the same, decoded
-  settings::Names names;    // of localities and classes
+  settings::Values values;  // settings by path, undecoded
+  Settings settings;        // decoded settings
+  settings::Names names;    // names of localities and request classes
 };
 
-// Throws ConfigurationError.
+// Decodes the JSON text of a configuration. Throws ConfigurationError if it is invalid.
 [[nodiscard]] Configuration parse_configuration(std::string_view bytes);
 
-// Reads and parses the file. Throws ConfigurationError, also where there is no such file.
+// Reads and decodes the file. Throws ConfigurationError if the file does not exist or is invalid.
 [[nodiscard]] Configuration read_configuration(const std::string& file);
 
 }  // namespace beamshunt::platform
--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -9,14 +9,16 @@
 
 using base::raw;
 
-// ms between two checks of all sessions' time-outs: short against each of them.
+// Interval in ms at which the timeouts of all sessions are checked: short compared with each timeout.
 constexpr Ms kTimeoutCheckInterval = 200;
-// Bytes of all sessions' unfinished messages together: they count in the process's memory limit.
+// Maximum total size in bytes of all sessions' incomplete messages, which count towards the process's memory
+// limit.
 constexpr std::size_t kMaxUnfinishedBytes = 4194304;
-// Part of the channel's pace that liveness checks may use: after a network cut many streams are idle at once.
+// Share of the channel's rate that liveness checks may use. After a network outage many streams are idle at
+// once.
 constexpr double kLivenessChannelShare = 0.05;
-// A liveness check is sent only while it leaves one of so many of the messages allowed to a proxy in a
-// window: the rest is for updates.
+// A liveness check is sent only if fewer than one in this many of the messages allowed to a proxy within a
+// window have been sent: the other messages are reserved for updates.
 constexpr std::size_t kLivenessWindowDivisor = 2;
 constexpr double kMsPerSecond = 1000;
 
@@ -24,8 +26,8 @@
 
 void require_unregistered(const Session& session) {
   if (session.is_registered())
-    throw ProtocolError(ProtocolError::Scope::message, "a second joining on one connection",
-                        {.field = "t", .expected = "one registration a connection"});
+    throw ProtocolError(ProtocolError::Scope::message, "this connection is already registered",
+                        {.field = "t", .expected = "one registration per connection"});
 }
 
 void require_registered(const Session& session) {
@@ -50,7 +52,7 @@
 
 Core::Core(Configuration configuration, Ms now, double wall_now, bool log_endpoints)
     : configuration_(std::move(configuration)),
-      sessions_(configuration_.sockets),
+      sessions_(configuration_.descriptor_limit),
       acks_(outputs_),
       discovery_(configuration_, outputs_),
       updates_(discovery_.catalog()),
@@ -67,7 +69,7 @@
   if (session == nullptr) return;
   session->receive(bytes, now);
   try {
-    // A message may end other sessions, never its own.
+    // `session` stays valid: a message may end the sessions of other connections, but not its own.
     while (std::optional<std::string> line = session->next_message())
       handle_message(id, *session, *line, now);
   } catch (const ProtocolError& error) {
@@ -81,24 +83,24 @@
     std::visit([&](const auto& concrete) { handle(id, session, concrete, now); }, message);
     session.count_valid_message();
   } catch (const ProtocolError& error) {
-    // A peer that has not registered gets one attempt. A registered one loses the malformed message alone, as
-    // long as others are valid.
+    // The first malformed message ends an unregistered connection. On a registered connection the message is
+    // dropped, up to a number of consecutive malformed messages.
     if (!session.is_registered() || error.scope == ProtocolError::Scope::connection) throw;
     ++counters_.malformed;
     outputs_.log(log::Level::warning, "message_malformed", malformed_fields(id, error));
     if (session.count_malformed_message())
-      throw ProtocolError(ProtocolError::Scope::connection, "nothing usable comes any more",
+      throw ProtocolError(ProtocolError::Scope::connection, "too many consecutive malformed messages",
                           {.expected = "a valid message"});
   }
 }
 
 void Core::evict(ConnectionId id) {
   const Session* session = sessions_.find(id);
-  if (session == nullptr || session->is_registered()) return;  // what came last was a registration
-  outputs_.send(id, error_line("too many connections that have not joined"));
+  if (session == nullptr || session->is_registered()) return;  // registered by the last bytes received
+  outputs_.send(id, error_line("too many unregistered connections"));
   outputs_.effects.emplace_back(CloseConnection{id, true});
   ++counters_.evicted;
-  end_session(id, "evicted to make room");
+  end_session(id, "evicted to free a descriptor");
 }
 
 void Core::reject(ConnectionId id, const std::string& reason) {
@@ -109,7 +111,8 @@
   end_session(id, reason);
 }
 
-// What the session stood for goes with it. Nothing happens if it is over already.
+// Removes the session and, for a proxy, everything that was kept for it. Has no effect if the session has
+// ended.
 void Core::end_session(ConnectionId id, const std::string& reason) {
   const Session* session = sessions_.find(id);
   if (session == nullptr) return;
@@ -141,11 +144,11 @@
 
 void Core::handle(ConnectionId id, Session& session, const ProxyRegistration& registration, Ms) {
   require_unregistered(session);
-  // The proxy connected again before the end of its former stream was seen. The former one must not stand for
-  // the proxy any more, nor its end count as the proxy's.
-  if (auto former = sessions_.connection_of(registration.proxy)) {
-    outputs_.effects.emplace_back(CloseConnection{*former, true});
-    end_session(*former, "the proxy has a newer stream");
+  // The proxy may reconnect before the end of its previous stream is detected. The previous stream must no
+  // longer represent the proxy, and its later end must not disconnect the proxy.
+  if (auto previous = sessions_.connection_of(registration.proxy)) {
+    outputs_.effects.emplace_back(CloseConnection{*previous, true});
+    end_session(*previous, "the proxy has a newer stream");
   }
   sessions_.register_proxy(id, registration);
   outputs_.log(log::Level::info, "proxy_registered",
@@ -170,7 +173,7 @@
       ++counters_.late_acks;
       return;
     case AckTracker::AckResult::unknown:
-      throw ProtocolError(ProtocolError::Scope::message, "an ack of a nonce that does not wait for one",
+      throw ProtocolError(ProtocolError::Scope::message, "an ack of a nonce that is not in flight",
                           {"nonce", std::to_string(ack.nonce), "a nonce that was sent on this stream"});
   }
 }
@@ -191,10 +194,11 @@
 void Core::handle(ConnectionId, Session& session, const DemandReportMessage& report, Ms) {
   require_registered(session);
   if (session.role() == Session::Role::proxy && session.registration().proxy != report.proxy)
-    throw ProtocolError(ProtocolError::Scope::message, "a report of another proxy than this stream's",
+    throw ProtocolError(ProtocolError::Scope::message,
+                        "the report is for a different proxy than this stream's",
                         {"node", std::to_string(raw(report.proxy)), "the stream's own proxy"});
   ++counters_.reports;
-  if (!sessions_.connection_of(report.proxy)) return;  // the controller does not know the proxy
+  if (!sessions_.connection_of(report.proxy)) return;  // not registered with the controller
   outputs_.events.emplace_back(DemandReport{report.proxy, report.request_class, report.arrivals,
                                             report.failed, Duration(report.interval)});
 }
@@ -215,27 +219,28 @@
   const bool address_changed = next.discovery != configuration_.discovery;
   const bool settings_changed = next.values != configuration_.values;
   const bool localities_changed = next.names.localities != configuration_.names.localities;
-  const bool registrations_hold = !localities_changed && next.names.classes == configuration_.names.classes &&
-                                  next.settings.proxy_count == configuration_.settings.proxy_count;
+  const bool registrations_valid = !localities_changed &&
+                                   next.names.classes == configuration_.names.classes &&
+                                   next.settings.proxy_count == configuration_.settings.proxy_count;
   next.listen = configuration_.listen;
   configuration_ = std::move(next);
-  sessions_.set_sockets(configuration_.sockets);
+  sessions_.set_descriptor_limit(configuration_.descriptor_limit);
   outputs_.log(log::Level::info, "configuration_applied",
                {{"discovery", net::to_string(configuration_.discovery)},
                 {"new_controller", settings_changed ? "yes" : "no"}});
   discovery_.on_reconfigured(address_changed, localities_changed);
   if (!settings_changed) return;
-  // Where classes, localities or the number of proxies differ, the registrations meant the former ones: those
-  // proxies have to connect again.
-  while (!registrations_hold && !sessions_.proxies().empty())
+  // If classes, localities or the number of proxies differ, the registrations refer to the previous settings
+  // and are no longer valid: the proxies must connect again.
+  while (!registrations_valid && !sessions_.proxies().empty())
     reject(sessions_.proxies().begin()->second, "the settings have changed");
   start_controller();
   hand_over_streams(now);
 }
 
-// The streams go on: the new controller assigns tables to all of their proxies, which use what they hold
-// until then. The limits on the channel and on each proxy's messages hold for both controllers together, so
-// the new one is told what the former ones' messages hold of them.
+// Registers the proxies of all open streams with the new controller, which assigns tables to them; until then
+// the proxies use their present tables. The limits on the channel and on the messages to each proxy apply to
+// all controllers together, so the new controller is informed of the usage by messages of the previous ones.
 void Core::hand_over_streams(Ms now) {
   SharedChannelUsage usage;
   for (const auto& [proxy, id] : sessions_.proxies()) {
@@ -245,7 +250,7 @@
     session.mark_tables_assigned();
     register_with_controller(session.registration());
   }
-  usage.queued_lines = acks_.other_lines();
+  usage.queued_lines = acks_.external_lines();
   outputs_.events.emplace_back(std::move(usage));
 }
 
@@ -278,7 +283,7 @@
   outputs_.log(log::Level::error, "controller_invariant_violated", {{"text", action.text}});
 }
 
-// All updates of a batch to one proxy are one message; all messages of a batch share one nonce.
+// Sends all updates of a batch to a proxy as one message. All messages of a batch share one nonce.
 void Core::send_updates(Ms now) {
   const std::optional<std::uint32_t> sequence_number = std::exchange(requested_ack_, std::nullopt);
   std::map<ProxyId, UpdateWriter::Parts> messages = updates_.take_messages();
@@ -291,7 +296,7 @@
     ++counters_.messages;
     counters_.lines += static_cast<std::uint64_t>(lines);
     Session& session = *sessions_.find(*id);
-    // Forgets the messages before the window, which would otherwise grow with the stream's age.
+    // Drops the records of messages before the window, which would otherwise grow with the stream's age.
     static_cast<void>(session.sent_messages_within(message_window(), now));
     session.count_sent_message(now);
     if (nonce)
@@ -325,11 +330,11 @@
 
 void Core::expire_timeouts(Ms now) {
   next_timeout_check_ = now + kTimeoutCheckInterval;
-  acks_.forget_old_deliveries(now);
+  acks_.discard_old_deliveries(now);
   TimeoutPass pass{.now = now, .liveness_checks_left = liveness_check_budget()};
   auto& sessions = sessions_.sessions();
   for (auto next = sessions.begin(); next != sessions.end();) {
-    auto current = next++;  // the session may end here
+    auto current = next++;  // expire_timeouts() may remove the session
     expire_timeouts(current->first, current->second, pass);
   }
 }
@@ -342,24 +347,24 @@
   pass.unfinished_bytes += session.unfinished_bytes();
   const bool over_memory = session.unfinished_bytes() > 0 && pass.unfinished_bytes > kMaxUnfinishedBytes;
   if (session.message_timed_out(pass.now) || over_memory) {
-    reject(id, "a message does not end");
+    reject(id, "a message remained incomplete");
     return;
   }
   if (pass.liveness_checks_left > 0 && check_liveness(id, session, pass.now)) --pass.liveness_checks_left;
   expire_acks(id, session, pass.now);
 }
 
-// Liveness checks that one pass over the sessions may send.
+// Returns the number of liveness checks that one pass over the sessions may send.
 double Core::liveness_check_budget() const {
   const Settings& settings = configuration_.settings;
   return kLivenessChannelShare * settings.channel_lines_per_second * kTimeoutCheckInterval / kMsPerSecond /
          (settings.message_overhead_lines + 1);
 }
 
-// A stream whose proxy vanished stays open and silent: while nothing is sent to it, it would stand for its
-// proxy for good, and its last demand with it. A nonce alone, sent to an idle stream, makes the proxy answer
-// or its ack overdue. The controller did not send it and is told what it uses of the channel. Returns whether
-// a check was sent.
+// Sends a nonce without updates to an idle stream, and returns true if one was sent. The stream of a proxy
+// that vanished stays open and silent; while nothing is sent, no ack becomes overdue, and the proxy would
+// stay registered indefinitely with its last reported demand. The nonce makes either the proxy respond or its
+// ack overdue. An event reports the check's channel usage to the controller, which did not send it.
 bool Core::check_liveness(ConnectionId id, Session& session, Ms now) {
   const Settings& settings = configuration_.settings;
   if (session.role() != Session::Role::proxy) return false;
@@ -378,7 +383,7 @@
 
 void Core::expire_acks(ConnectionId id, const Session& session, Ms now) {
   const Ms max_update_delay = configuration_.settings.max_update_delay.count();
-  while (auto sent_at = acks_.overdue_since_sent(id, max_update_delay, now)) {
+  while (auto sent_at = acks_.overdue_sent_at(id, max_update_delay, now)) {
     ++counters_.unacknowledged;
     if (session.last_received() <= *sent_at) {
       ++counters_.unresponsive;
@@ -386,8 +391,9 @@
       end_session(id, "unresponsive");
       return;
     }
-    // The proxy was heard of since, so the message is through and its ack was lost or malformed. Unreleased,
-    // its lines would count as queued and hold up the updates of all proxies.
+    // Bytes of the proxy arrived after the message was sent, so the message was delivered and its ack was
+    // lost or malformed. If the nonce were not released, its lines would count as queued and delay the
+    // updates of all proxies.
     acks_.release_oldest(id, now);
   }
 }
--- a/src/platform/core.h
+++ b/src/platform/core.h
@@ -1,9 +1,9 @@
-// The platform's assigner without its sockets: bytes, results and times in, effects out. It wires the parts
-// of this package to the controller and hands each input to the part that owns it. It performs no I/O, reads
-// no clock and makes no decision on endpoints: those are the controller's.
+// The platform's assigner without its sockets: receives bytes, results and times, and returns effects. It
+// connects the components of this package to the controller and passes each input to the component that
+// handles it. It performs no I/O, reads no clock and decides nothing about endpoints; the controller does.
 //
-// One call of the controller takes all that came since the last one: the shell reports what happens as it
-// happens, calls run_once() when the loop has nothing more, and executes the effects in their order.
+// One call of the controller handles all events since the last call. The shell reports each input as it
+// occurs, calls run_once() when the event loop has no more input, and executes the effects in order.
 #pragma once
 
 #include <cstddef>
@@ -28,69 +28,70 @@
 
 namespace beamshunt::platform {
 
-// What happened since the start.
+// Counts since the start of the process.
 struct Counters {
-  std::uint64_t messages = 0;         // update messages to proxies
-  std::uint64_t lines = 0;            // that these count in the channel, without the overhead a message
+  std::uint64_t messages = 0;         // update messages sent to proxies
+  std::uint64_t lines = 0;            // lines of the update messages, without the overhead per message
   std::uint64_t reports = 0;          // valid reports received
-  std::uint64_t malformed = 0;        // messages dropped alone
-  std::uint64_t rejected = 0;         // connections closed with a reason
-  std::uint64_t evicted = 0;          // unregistered connections closed to make room
-  std::uint64_t unresponsive = 0;     // proxies' connections closed for overdue acks
+  std::uint64_t malformed = 0;        // malformed messages dropped without closing the connection
+  std::uint64_t rejected = 0;         // connections closed with a reason sent to the peer
+  std::uint64_t evicted = 0;          // unregistered connections closed to free descriptors
+  std::uint64_t unresponsive = 0;     // connections of proxies closed because of overdue acks
   std::uint64_t unacknowledged = 0;   // nonces whose ack was overdue
-  std::uint64_t late_acks = 0;        // of nonces released before
-  std::uint64_t liveness_checks = 0;  // nonces sent alone
+  std::uint64_t late_acks = 0;        // acks of nonces that had been released
+  std::uint64_t liveness_checks = 0;  // nonces sent without updates
 };
 
 class Core {
  public:
-  // `now`: ms of the monotonic clock, here and below; `wall_now`: ms since 1970 at the same instant.
-  // `log_endpoints`: writes EndpointViewLog's line.
+  // Here and below, `now` is in ms of the monotonic clock, and `wall_now` in ms since 1970 at the same
+  // instant. `log_endpoints` enables EndpointViewLog.
   Core(Configuration configuration, Ms now, double wall_now, bool log_endpoints = false);
-  // Its parts refer to each other.
+  // Not copyable: the components hold references to each other.
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
-  // ---- Inputs; their effects are taken after run_once() ----
+  // ---- Inputs; take_effects() returns their effects after run_once() ----
   void on_connection_opened(ConnectionId id, Ms now) { sessions_.add(id, now); }
-  // Bytes of a connection that is over are ignored.
+  // Ignores bytes of a connection that has ended.
   void on_bytes(ConnectionId id, std::string_view bytes, Ms now);
-  // The peer or the network closed it; `reason` is logged.
+  // Handles a connection that the peer or the network closed. `reason` is logged.
   void on_connection_closed(ConnectionId id, const std::string& reason) { end_session(id, reason); }
-  // Of a watch that is over, bytes and end are ignored.
-  void on_watch_bytes(ListWatch::Id watch, std::string_view bytes, Ms now, double wall_now) {
+  // Both ignore input of a watch that has ended.
+  void on_watch_bytes(WatchSet::Id watch, std::string_view bytes, Ms now, double wall_now) {
     discovery_.on_watch_bytes(watch, bytes, now, wall_now);
   }
-  void on_watch_ended(ListWatch::Id watch, const std::string& reason, Ms now) {
+  void on_watch_ended(WatchSet::Id watch, const std::string& reason, Ms now) {
     discovery_.on_watch_ended(watch, reason, now);
   }
   void on_fetched(std::string_view json, Ms now, double wall_now) {
     discovery_.on_fetched(json, now, wall_now);
   }
   void on_fetch_failed(const std::string& reason) { discovery_.on_fetch_failed(reason); }
-  // `duration`: ms; `body`: of the endpoint's answer, empty if there was none.
+  // `duration` is in ms. `body` is the body of the endpoint's response, empty if there was no response.
   void on_health_check_result(EndpointId endpoint, HealthCheckId id, AttemptOutcome outcome, Ms duration,
                               std::string_view body) {
     health_checks_.on_result(endpoint, id, outcome, duration, body);
   }
-  // Another configuration holds from now on, but for its listen address, which waits for the next start.
-  // Where the settings differ a new controller takes over. It knows the endpoint list, the registered proxies
-  // and what the former one's messages still hold of the channel; ejections, limits and estimates are
-  // dropped. Where classes, localities or the number of proxies differ, the proxies are disconnected first
-  // and register again.
+  // Replaces the configuration, except for the listen address, which applies from the next start. If the
+  // settings differ, a new controller replaces the present one. It receives the endpoint list, the registered
+  // proxies and the channel usage of messages in flight; ejections, limits and estimates are dropped. If
+  // classes, localities or the number of proxies differ, the proxies are disconnected first and must register
+  // again.
   void reconfigure(Configuration next, Ms now);
 
-  // ---- Room for connections ----
-  // Descriptors are for registered peers: the connection that has to make room for others, or nothing while
-  // there are enough. The shell reads it a last time before it calls evict(): it may hold a registration.
+  // ---- Eviction ----
+  // Returns the unregistered connection to close next, or nothing while enough descriptors are left for
+  // registered peers. Before it calls evict(), the shell must read the connection once more, because a
+  // registration may be waiting in the socket.
   [[nodiscard]] std::optional<ConnectionId> eviction_candidate() { return sessions_.eviction_candidate(); }
-  // Closes the connection, unless it has registered meanwhile.
+  // Closes the connection unless it has registered in the meantime.
   void evict(ConnectionId id);
 
   // ---- Time ----
-  // Handles what is due, and calls the controller with all events since the last call, if there are any.
+  // Handles expired timers and timeouts, and calls the controller if there are events since the last call.
   void run_once(Ms now);
-  // When run_once() must be called at the latest; 0: at once.
+  // Returns the latest time (ms) for the next call of run_once(); 0 means at once.
   [[nodiscard]] Ms next_due() const;
   [[nodiscard]] std::vector<Effect> take_effects() { return std::exchange(outputs_.effects, {}); }
 
@@ -101,14 +102,14 @@
   [[nodiscard]] std::size_t proxies() const { return sessions_.proxies().size(); }
 
  private:
-  // What one pass over all sessions has left.
+  // Budgets shared by all sessions in one pass of expire_timeouts().
   struct TimeoutPass {
     Ms now = 0;
     double liveness_checks_left = 0;
-    std::size_t unfinished_bytes = 0;  // of the sessions looked at so far
+    std::size_t unfinished_bytes = 0;  // total of the sessions checked so far
   };
 
-  // Messages of a session. Each throws ProtocolError.
+  // Handlers of received messages. Each throws ProtocolError if the message is not allowed in the session.
   void handle_message(ConnectionId id, Session& session, std::string_view line, Ms now);
   void handle(ConnectionId id, Session& session, const HealthCheckRequest& request, Ms now);
   void handle(ConnectionId id, Session& session, const CollectorRegistration& registration, Ms now);
@@ -121,7 +122,7 @@
   void reject(ConnectionId id, const std::string& reason);
   void end_session(ConnectionId id, const std::string& reason);
 
-  // The controller and its actions.
+  // Handover between controllers and execution of the controller's actions.
   void start_controller();
   void hand_over_streams(Ms now);
   void execute(const std::vector<Action>& actions, Ms now);
@@ -153,11 +154,11 @@
   AckTracker acks_;
   DiscoveryClient discovery_;
   UpdateWriter updates_;
-  std::unique_ptr<EndpointViewLog> view_log_;  // null: endpoints are not logged
+  std::unique_ptr<EndpointViewLog> view_log_;  // null if endpoints are not logged
   HealthCheckClient health_checks_;
   std::unique_ptr<Controller> controller_;
-  std::multimap<Ms, std::uint64_t> timers_;     // the controller's, by deadline
-  std::optional<std::uint32_t> requested_ack_;  // sequence number, of the present batch
+  std::multimap<Ms, std::uint64_t> timers_;     // tokens of the controller's timers, by deadline
+  std::optional<std::uint32_t> requested_ack_;  // sequence number to acknowledge with the present batch
   Ms next_timeout_check_ = 0;
   Counters counters_;
 };
--- a/src/platform/discovery_client.cpp
+++ b/src/platform/discovery_client.cpp
@@ -19,7 +19,7 @@
 }
 
 void DiscoveryClient::subscribe() {
-  // A watch that is open brings all that a new one would.
+  // An open watch delivers everything that a new watch would.
   if (!watches_.any_open()) open_watch();
 }
 
@@ -30,13 +30,13 @@
 
 void DiscoveryClient::fetch() { outputs_.effects.emplace_back(FetchEndpointList{configuration_.discovery}); }
 
-void DiscoveryClient::on_watch_bytes(ListWatch::Id watch, std::string_view bytes, Ms now, double wall_now) {
+void DiscoveryClient::on_watch_bytes(WatchSet::Id watch, std::string_view bytes, Ms now, double wall_now) {
   try {
     for (const std::string& object : watches_.receive(watch, bytes)) {
       if (!apply_list(object, now, wall_now)) continue;
-      // Former watches are closed only now that the new one is known to serve: until then they were the only
-      // ones to bring a drain.
-      close_watches(watches_.mark_serving(watch));
+      // Older watches are closed only now, because until this watch delivered a valid object they were the
+      // only source of drains.
+      close_watches(watches_.mark_active(watch));
     }
   } catch (const WatchError& error) {
     close_watches({watch});
@@ -44,23 +44,23 @@
   }
 }
 
-void DiscoveryClient::on_watch_ended(ListWatch::Id watch, const std::string& reason, Ms now) {
+void DiscoveryClient::on_watch_ended(WatchSet::Id watch, const std::string& reason, Ms now) {
   switch (watches_.end(watch, now)) {
-    case ListWatch::EndEffect::none:
+    case WatchSet::EndResult::none:
       return;
-    case ListWatch::EndEffect::all_lost:
+    case WatchSet::EndResult::all_lost:
       report_list_lost(reason);
       return;
-    case ListWatch::EndEffect::newest_lost:
+    case WatchSet::EndResult::newest_lost:
       reopen_watch_ = true;
       outputs_.log(log::Level::warning, "watch_lost",
-                   {{"reason", reason}, {"endpoint_list", "a former watch still serves"}});
+                   {{"reason", reason}, {"endpoint_list", "an older watch is still active"}});
       return;
   }
 }
 
 void DiscoveryClient::on_fetched(std::string_view json, Ms now, double wall_now) {
-  static_cast<void>(apply_list(json, now, wall_now));  // a malformed one is logged
+  static_cast<void>(apply_list(json, now, wall_now));  // apply_list() logs an invalid list
 }
 
 void DiscoveryClient::on_fetch_failed(const std::string& reason) {
@@ -68,7 +68,7 @@
   else outputs_.log(log::Level::warning, "endpoint_list_fetch_failed", {{"reason", reason}});
 }
 
-// Whether the bytes were an object of the list.
+// Returns false, and logs the reason, if the bytes are not a valid list object.
 bool DiscoveryClient::apply_list(std::string_view json, Ms now, double wall_now) {
   EndpointCatalog::Change change;
   try {
@@ -91,28 +91,28 @@
 }
 
 void DiscoveryClient::report_list_lost(const std::string& reason) {
-  // Under subscriptions the controller says when to subscribe again.
+  // With subscriptions the controller decides when to subscribe again.
   if (!configuration_.settings.endpoint_list_by_subscription) reopen_watch_ = true;
   outputs_.log(log::Level::warning, "endpoint_list_lost", {{"reason", reason}});
   outputs_.events.emplace_back(EndpointList{EndpointListKind::lost, {}});
 }
 
 void DiscoveryClient::on_reconfigured(bool address_changed, bool localities_changed) {
-  // The list's localities are numbers of the former settings, and may be none of the present ones.
-  if (localities_changed) catalog_.rename(configuration_.names);
+  // The entries use locality numbers of the previous settings, which may differ or not exist in the new ones.
+  if (localities_changed) catalog_.update_localities(configuration_.names);
   if (address_changed || localities_changed) open_watch();
 }
 
 void DiscoveryClient::open_watch() {
   reopen_watch_ = false;
   catalog_.on_resubscribe();
-  ListWatch::Opened opened = watches_.open();
+  WatchSet::Opened opened = watches_.open();
   close_watches(opened.superseded);
   outputs_.effects.emplace_back(OpenWatch{opened.id, configuration_.discovery, catalog_.version()});
 }
 
-void DiscoveryClient::close_watches(const std::vector<ListWatch::Id>& watches) {
-  for (ListWatch::Id watch : watches) outputs_.effects.emplace_back(CloseWatch{watch});
+void DiscoveryClient::close_watches(const std::vector<WatchSet::Id>& watches) {
+  for (WatchSet::Id watch : watches) outputs_.effects.emplace_back(CloseWatch{watch});
 }
 
 void DiscoveryClient::run_timers(Ms now) {
--- a/src/platform/effects.h
+++ b/src/platform/effects.h
@@ -1,5 +1,6 @@
-// What the platform's core has its shell do, and what its parts have for the controller. The core performs no
-// I/O: its parts append to one Outputs, the shell executes the effects in their order.
+// The effects that the platform's core requests from its shell, and the events that the core's components
+// collect for the controller. The core performs no I/O: its components append to one Outputs object, and the
+// shell executes the effects in the order in which they were appended.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +13,14 @@
 
 #include "log/log.h"
 #include "net/address.h"
-#include "platform/list_watch.h"
+#include "platform/watch_set.h"
 #include "policy/controller.h"
 
 namespace beamshunt::platform {
 
-// Of one connection that a peer opened; never used twice.
+// Identifies a connection that a peer opened. Ids are never reused.
 enum class ConnectionId : std::uint64_t {};
-// Of one health check; never used twice.
+// Identifies a health check. Ids are never reused.
 enum class HealthCheckId : std::uint64_t {};
 
 struct SendBytes {
@@ -28,27 +29,29 @@
 };
 struct CloseConnection {
   ConnectionId connection{};
-  bool immediately = false;  // false: after what was sent before, so that the peer learns the reason
+  bool immediately =
+      false;  // false: the bytes sent before are flushed first, so that the peer gets the reason
 };
-// GET /api/targets?watch=1&from=VERSION. Its bytes and its end are reported by the watch's id.
+// Requests GET /api/targets?watch=1&from=VERSION. The shell reports received bytes and the end of the watch
+// under the watch's id.
 struct OpenWatch {
-  ListWatch::Id watch = 0;
+  WatchSet::Id watch = 0;
   net::Address discovery{};
   std::uint64_t from_version = 0;
 };
 struct CloseWatch {
-  ListWatch::Id watch = 0;
+  WatchSet::Id watch = 0;
 };
-// GET /api/targets, once.
+// Requests GET /api/targets once.
 struct FetchEndpointList {
   net::Address discovery{};
 };
-// GET of the endpoint's health page. The result is reported by the check's id and endpoint.
+// Requests the endpoint's health page. The shell reports the result under the check's id and endpoint.
 struct StartHealthCheck {
   HealthCheckId id{};
   EndpointId endpoint{};
   net::Address address{};
-  bool wants_load_report = false;  // the page that carries the load report
+  bool request_load_report = false;  // true: requests the page that contains the load report
 };
 struct LogLine {
   log::Level level = log::Level::info;
@@ -58,10 +61,10 @@
 using Effect = std::variant<SendBytes, CloseConnection, OpenWatch, CloseWatch, FetchEndpointList,
                             StartHealthCheck, LogLine>;
 
-// What the core's parts put out, in its order.
+// Collects the output of the core's components in the order in which it is produced.
 struct Outputs {
-  std::vector<Effect> effects;  // for the shell
-  std::vector<Event> events;    // for the controller, at its next call
+  std::vector<Effect> effects;  // effects for the shell to execute
+  std::vector<Event> events;    // events for the next call of the controller
 
   void send(ConnectionId connection, std::string bytes) {
     effects.emplace_back(SendBytes{connection, std::make_shared<const std::string>(std::move(bytes))});
--- a/src/platform/endpoint_view_log.h
+++ b/src/platform/endpoint_view_log.h
@@ -1,6 +1,6 @@
-// Once a second a log line on all endpoints as this assigner sees them: attempts, failures, latency, weight,
-// health, utilization. To be compared with the traffic that the endpoints see. For the log alone: nothing is
-// decided by it.
+// Logs once a second how this assigner sees all endpoints: attempts, failures, latency, weight, health and
+// utilization. The log is meant for comparison with the traffic that the endpoints see; no decision depends
+// on it.
 #pragma once
 
 #include <map>
@@ -17,30 +17,30 @@
 
 class EndpointViewLog {
  public:
-  // `outputs` must outlive this.
+  // `outputs` must outlive this object.
   explicit EndpointViewLog(Outputs& outputs) : outputs_(outputs) {}
 
   void record_report(EndpointId endpoint, const EndpointReportMessage& report);
   void record_health_check(EndpointId endpoint, AttemptOutcome outcome, const LoadReport& load);
 
-  // Writes the line if it is due at `now` (ms), and begins a new account.
+  // Writes the log line if it is due at `now` (ms), and resets the statistics of the reports.
   void write_if_due(const EndpointCatalog& catalog, const assignments::AssignmentTables& tables,
                     const settings::Names& names, Ms now);
 
  private:
-  struct View {
-    // Of the reports since the last line.
+  struct Statistics {
+    // Sums over the reports since the last log line.
     double attempts = 0;
     double failed = 0;
     double total_latency = 0;  // ms, over the successful attempts
-    // Last known.
-    std::string health_check_outcome;  // empty: none yet
-    double utilization = -1;           // by the load report; below 0: none yet
+    // Latest values.
+    std::string health_check_outcome;  // empty: no health check yet
+    double utilization = -1;           // as given by the load report; negative: not reported yet
   };
 
   Outputs& outputs_;
-  std::map<EndpointId, View> views_;
-  Ms next_line_at_ = 0;
+  std::map<EndpointId, Statistics> statistics_;
+  Ms next_write_at_ = 0;
 };
 
 }  // namespace beamshunt::platform
--- a/src/platform/health_check_client.cpp
+++ b/src/platform/health_check_client.cpp
@@ -7,7 +7,8 @@
 namespace beamshunt::platform {
 
 void HealthCheckClient::start(EndpointId endpoint) {
-  // Checked faster than it answers, one endpoint that hangs would use up the concurrent checks of all others.
+  // With several checks in flight, one endpoint that hangs would use up the concurrent checks of all
+  // endpoints.
   const HealthCheckId id{last_id_ + 1};
   if (!in_flight_.emplace(endpoint, id).second) return;
   ++last_id_;
@@ -20,7 +21,7 @@
 void HealthCheckClient::on_result(EndpointId endpoint, HealthCheckId id, AttemptOutcome outcome, Ms duration,
                                   std::string_view body) {
   auto check = in_flight_.find(endpoint);
-  if (check == in_flight_.end() || check->second != id) return;  // of a former controller
+  if (check == in_flight_.end() || check->second != id) return;  // requested by a previous controller
   in_flight_.erase(check);
   LoadReport load = parse_load_report(body);
   if (view_log_ != nullptr) view_log_->record_health_check(endpoint, outcome, load);
--- a/src/platform/health_check_client.h
+++ b/src/platform/health_check_client.h
@@ -1,5 +1,5 @@
-// The controller's health checks of endpoints: at most one in flight for each endpoint. When to check, and
-// what a result means, is the controller's; the shell carries the requests.
+// Runs the health checks that the controller requests, with at most one check in flight per endpoint. The
+// controller decides when to check and how to interpret the result; the shell sends the requests.
 #pragma once
 
 #include <cstdint>
@@ -16,20 +16,20 @@
 
 class HealthCheckClient {
  public:
-  // All must outlive this. `view_log`: null if endpoints are not logged.
+  // All arguments must outlive the client. `view_log` is null if endpoints are not logged.
   HealthCheckClient(const Configuration& configuration, const EndpointCatalog& catalog, Outputs& outputs,
                     EndpointViewLog* view_log)
       : configuration_(configuration), catalog_(catalog), outputs_(outputs), view_log_(view_log) {}
 
-  // A controller starts: checks of the former one are void, their results are ignored.
+  // Discards the checks of the previous controller: their results will be ignored.
   void start_controller() { in_flight_.clear(); }
 
-  // Checks the endpoint, unless a check of it is in flight. Where no address is known the result is
-  // connect_failed at once.
+  // Checks the endpoint unless a check of it is in flight. If the endpoint's address is not known, the check
+  // fails at once with connect_failed.
   void start(EndpointId endpoint);
 
-  // The shell's result of StartHealthCheck. `duration`: ms; `body`: of the answer, holds the load report if
-  // one was requested.
+  // Handles the result of StartHealthCheck. `duration` is in ms. `body` is the body of the response and
+  // contains the load report if one was requested.
   void on_result(EndpointId endpoint, HealthCheckId id, AttemptOutcome outcome, Ms duration,
                  std::string_view body);
 
@@ -38,7 +38,7 @@
   const EndpointCatalog& catalog_;
   Outputs& outputs_;
   EndpointViewLog* view_log_;
-  std::map<EndpointId, HealthCheckId> in_flight_;  // of the present controller
+  std::map<EndpointId, HealthCheckId> in_flight_;  // checks requested by the present controller
   std::uint64_t last_id_ = 0;
 };
 
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -14,14 +14,14 @@
 
 using nlohmann::json;
 
-// Bounds of a sound report. More is an error of the sender's, and would outweigh all other reports together.
-constexpr double kMaxAttempts = 1e7;        // attempts or requests of one report: beyond any proxy's rate
-constexpr Ms kMaxDuration = 600000;         // ms that a report covers or an attempt takes: far past deadlines
-constexpr double kMaxExpectedRate = 1e6;    // requests a second of one proxy: beyond what one machine serves
-constexpr double kMaxLoadFigure = 1e9;      // any figure of a load report: beyond any unit in use
-constexpr std::size_t kMaxTextBytes = 256;  // bytes of a name: what is logged and returned stays short
-constexpr std::size_t kKeptBufferBytes =
-    4096;  // bytes an idle reader keeps: there is one for each connection
+// Upper bounds of values in a report. A larger value is an error of the sender and would outweigh all other
+// reports together.
+constexpr double kMaxAttempts = 1e7;  // attempts or requests per report; above any proxy's rate
+constexpr Ms kMaxDuration = 600000;   // ms covered by a report or taken by an attempt; far above any deadline
+constexpr double kMaxExpectedRate = 1e6;  // requests per second of one proxy; above any machine's capacity
+constexpr double kMaxLoadMetric = 1e9;    // any metric of a load report; above any value in the units in use
+constexpr std::size_t kMaxStringBytes = 256;       // bytes of a name; bounds logged and returned text
+constexpr std::size_t kMaxIdleBufferBytes = 4096;  // buffer capacity of an idle reader; one per connection
 
 [[noreturn]] void fail_message(const std::string& reason, ProtocolError::Detail detail) {
   throw ProtocolError(ProtocolError::Scope::message, reason, std::move(detail));
@@ -29,20 +29,22 @@
 [[noreturn]] void fail_connection(const std::string& reason, std::string expected) {
   throw ProtocolError(ProtocolError::Scope::connection, reason, {.expected = std::move(expected)});
 }
-// `problem` completes the sentence "field NAME ..." that the peer is told.
+// Throws ProtocolError with the reason "field <name> <problem>", which may be sent to the peer.
 [[noreturn]] void fail_field(const std::string& name, const std::string& problem, std::string value,
                              std::string expected) {
   fail_message("field " + name + " " + problem, {name, std::move(value), std::move(expected)});
 }
 
-// For the error's detail only: a peer may have sent a value of any size.
+// Returns the value as JSON text, truncated because a peer may send a value of any size. For error details
+// only.
 std::string excerpt(const json& value) {
   std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
-  if (text.size() > kMaxTextBytes) text.resize(kMaxTextBytes);
+  if (text.size() > kMaxStringBytes) text.resize(kMaxStringBytes);
   return text;
 }
 
-// Typed access to a message's fields. Each method throws ProtocolError of scope `message`.
+// Gives typed access to the fields of a message. The getters throw ProtocolError of scope `message` if the
+// field is missing or invalid.
 class MessageFields {
  public:
   explicit MessageFields(const json& object) : object_(object) {}
@@ -54,19 +56,19 @@
   }
   [[nodiscard]] bool has(const char* name) const { return object_.contains(name); }
 
-  [[nodiscard]] std::string text(const char* name) const {
+  [[nodiscard]] std::string string(const char* name) const {
     const json& value = at(name);
-    if (!value.is_string()) fail_field(name, "is no text", excerpt(value), "a text");
+    if (!value.is_string()) fail_field(name, "is not a string", excerpt(value), "a string");
     auto text = value.get<std::string>();
-    if (text.empty() || text.size() > kMaxTextBytes)
+    if (text.empty() || text.size() > kMaxStringBytes)
       fail_field(name, "is empty or too long", excerpt(value),
-                 "1 to " + std::to_string(kMaxTextBytes) + " bytes");
+                 "1 to " + std::to_string(kMaxStringBytes) + " bytes");
     return text;
   }
 
   [[nodiscard]] double number(const char* name, double max) const {
     const json& value = at(name);
-    if (!value.is_number()) fail_field(name, "is no number", excerpt(value), "a number");
+    if (!value.is_number()) fail_field(name, "is not a number", excerpt(value), "a number");
     auto number = value.get<double>();
     if (!std::isfinite(number) || number < 0 || number > max)
       fail_field(name, "is out of range: " + value.dump(), excerpt(value), "0 to " + json(max).dump());
@@ -75,26 +77,25 @@
 
   [[nodiscard]] double integer(const char* name, double max) const {
     double value = number(name, max);
-    if (value != std::floor(value))
-      fail_field(name, "is no whole number", excerpt(at(name)), "a whole number");
+    if (value != std::floor(value)) fail_field(name, "is not an integer", excerpt(at(name)), "an integer");
     return value;
   }
 
-  [[nodiscard]] bool flag(const char* name) const {
+  [[nodiscard]] bool boolean(const char* name) const {
     const json& value = at(name);
-    if (!value.is_boolean()) fail_field(name, "is neither true nor false", excerpt(value), "true or false");
+    if (!value.is_boolean()) fail_field(name, "is not a boolean", excerpt(value), "true or false");
     return value.get<bool>();
   }
 
-  // The time that a report covers, above 0: rates are divided by it.
+  // Returns the time covered by a report, in ms. It is positive because rates are divided by it.
   [[nodiscard]] Ms interval() const {
     Ms interval = number("interval", kMaxDuration);
-    if (interval <= 0) fail_field("interval", "is 0", "0", "ms above 0");
+    if (interval <= 0) fail_field("interval", "is 0", "0", "a positive number of ms");
     return interval;
   }
 
   [[nodiscard]] Locality locality(const settings::Names& names) const {
-    std::string name = text("locality");
+    std::string name = string("locality");
     try {
       return settings::locality(names, name);
     } catch (const settings::InputError& error) {
@@ -103,7 +104,7 @@
   }
 
   [[nodiscard]] ClassId request_class(const settings::Names& names) const {
-    std::string name = text("route");
+    std::string name = string("route");
     try {
       return settings::request_class(names, name);
     } catch (const settings::InputError& error) {
@@ -117,13 +118,13 @@
   const json& object_;
 };
 
-struct LoadFigureName {
+struct LoadMetricName {
   std::string_view wire;
   std::string_view controller;
 };
-// An endpoint may report by either name: its settings name the columns as the controller knows them, the
-// protocol's page by the shorter ones.
-constexpr std::array<LoadFigureName, 6> kLoadFigureNames = {{
+// Endpoints may use either name: the settings use the controller's names, the protocol's documentation uses
+// the shorter ones.
+constexpr std::array<LoadMetricName, 6> kLoadMetricNames = {{
     {"util", "utilization"},
     {"queue", "backlog"},
     {"inflight", "outstanding"},
@@ -132,68 +133,68 @@
     {"eps", "errors_per_s"},
 }};
 
-// Figures that the controller does not know are left out.
-void set_load_figure(LoadReport& load, std::string_view name, double value) {
-  auto found = std::find_if(kLoadFigureNames.begin(), kLoadFigureNames.end(), [&](const auto& known) {
+// Ignores metrics that the controller does not know.
+void set_load_metric(LoadReport& load, std::string_view name, double value) {
+  auto found = std::find_if(kLoadMetricNames.begin(), kLoadMetricNames.end(), [&](const auto& known) {
     return known.wire == name || known.controller == name;
   });
-  if (found != kLoadFigureNames.end()) load[std::string(found->controller)] = value;
+  if (found != kLoadMetricNames.end()) load[std::string(found->controller)] = value;
 }
 
-bool is_valid_load_figure(double value) {
-  return std::isfinite(value) && value >= 0 && value <= kMaxLoadFigure;
+bool is_valid_load_metric(double value) {
+  return std::isfinite(value) && value >= 0 && value <= kMaxLoadMetric;
 }
 
-LoadReport load_report(const json& metrics) {
-  if (!metrics.is_object()) fail_field("metrics", "is no object", excerpt(metrics), "an object");
+LoadReport parse_load_metrics(const json& metrics) {
+  if (!metrics.is_object()) fail_field("metrics", "is not an object", excerpt(metrics), "an object");
   LoadReport load;
   for (const auto& [name, value] : metrics.items()) {
-    if (!value.is_number() || !is_valid_load_figure(value.get<double>()))
-      fail_field("metrics." + name.substr(0, kMaxTextBytes), "is unusable", excerpt(value),
-                 "0 to " + json(kMaxLoadFigure).dump());
-    set_load_figure(load, name, value.get<double>());
+    if (!value.is_number() || !is_valid_load_metric(value.get<double>()))
+      fail_field("metrics." + name.substr(0, kMaxStringBytes), "is invalid", excerpt(value),
+                 "0 to " + json(kMaxLoadMetric).dump());
+    set_load_metric(load, name, value.get<double>());
   }
   return load;
 }
 
-EndpointReportMessage endpoint_report(const MessageFields& fields, const settings::Names& names) {
+EndpointReportMessage parse_endpoint_report(const MessageFields& fields, const settings::Names& names) {
   EndpointReportMessage report;
   report.source_locality = fields.locality(names);
-  report.uid = fields.text("endpoint");
+  report.uid = fields.string("endpoint");
   report.attempts = fields.integer("total", kMaxAttempts);
   report.failed = fields.integer("errors", report.attempts);
-  // Where no attempt succeeded there is no mean latency to give.
+  // Without a successful attempt there is no mean latency, so the field is optional.
   if (report.failed < report.attempts || fields.has("rtt"))
     report.mean_latency = fields.number("rtt", kMaxDuration);
   report.interval = fields.interval();
   if (fields.has("metrics") && !fields.at("metrics").is_null())
-    report.load = load_report(fields.at("metrics"));
+    report.load = parse_load_metrics(fields.at("metrics"));
   return report;
 }
 
-DemandReportMessage demand_report(const MessageFields& fields, const settings::Names& names,
-                                  int proxy_count) {
+DemandReportMessage parse_demand_report(const MessageFields& fields, const settings::Names& names,
+                                        int proxy_count) {
   DemandReportMessage report;
   report.proxy = fields.proxy(proxy_count);
   report.request_class = fields.request_class(names);
   report.arrivals = fields.integer("total", kMaxAttempts);
-  // May be more than the arrivals: some of the failed ones arrived in an earlier interval.
+  // May exceed `arrivals`, because a request may fail in a later interval than the one in which it arrived.
   report.failed = fields.integer("errors", kMaxAttempts);
   report.interval = fields.interval();
   return report;
 }
 
-ProxyRegistration proxy_registration(const MessageFields& fields, const settings::Names& names,
-                                     int proxy_count) {
+ProxyRegistration parse_proxy_registration(const MessageFields& fields, const settings::Names& names,
+                                           int proxy_count) {
   ProxyRegistration registration;
   registration.proxy = fields.proxy(proxy_count);
   registration.locality = fields.locality(names);
   registration.expected_rate = fields.number("w", kMaxExpectedRate);
-  registration.only_static_tables = fields.flag("cold");
+  registration.only_static_tables = fields.boolean("cold");
   return registration;
 }
 
-Ack ack(const MessageFields& fields, int proxy_count) {
+Ack parse_ack(const MessageFields& fields, int proxy_count) {
   Ack ack;
   ack.proxy = fields.proxy(proxy_count);
   ack.nonce = static_cast<std::uint32_t>(fields.integer("nonce", std::numeric_limits<std::uint32_t>::max()));
@@ -201,7 +202,7 @@
   return ack;
 }
 
-std::string_view trim_figure(std::string_view text) {
+std::string_view trim(std::string_view text) {
   while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\n' || text.back() == '\r'))
     text.remove_suffix(1);
@@ -210,7 +211,7 @@
 
 json part_object(const UpdatePart& part, const settings::Names& names) {
   json object = {{"t", "push"}};
-  // Without "for", all classes are meant.
+  // A part without "for" applies to all classes.
   const ClassMask all_classes = (ClassMask{1} << names.classes.size()) - 1;
   if (part.classes != 0 && part.classes != all_classes)
     for (std::size_t index = 0; index < names.classes.size(); ++index)
@@ -244,7 +245,7 @@
   if (end == std::string::npos) {
     buffer_.erase(0, std::exchange(consumed_, 0));
     searched_ = buffer_.size();
-    if (buffer_.empty() && buffer_.capacity() > kKeptBufferBytes) std::string().swap(buffer_);
+    if (buffer_.empty() && buffer_.capacity() > kMaxIdleBufferBytes) std::string().swap(buffer_);
     return std::nullopt;
   }
   std::string complete(line);
@@ -255,22 +256,22 @@
 
 Message parse_message(std::string_view line, const settings::Names& names, int proxy_count) {
   json object = json::parse(line, nullptr, false);
-  // Between its braces a message may hold what no parser accepts, such as a number beyond all range. The
-  // connection's lines are still told apart, so this message alone is lost.
+  // A line with complete braces may still be rejected by the parser, for example because of a number out of
+  // range. The line boundaries are intact in that case, so only this message is lost.
   std::size_t last = line.find_last_not_of(" \t\r");
   if (object.is_discarded() && last != std::string_view::npos && line[last] == '}')
-    fail_message("a message can't be read", {.expected = "a JSON object"});
+    fail_message("a message cannot be parsed", {.expected = "a JSON object"});
   if (!object.is_object()) fail_connection("a message is no JSON object", "a JSON object a line");
 
   MessageFields fields(object);
-  std::string kind = fields.text("t");
+  std::string kind = fields.string("t");
   if (kind == "probe") return HealthCheckRequest{};
   if (kind == "agent") return CollectorRegistration{fields.locality(names)};
-  if (kind == "hello") return proxy_registration(fields, names, proxy_count);
-  if (kind == "ack") return ack(fields, proxy_count);
-  if (kind == "outcomes") return endpoint_report(fields, names);
-  if (kind == "demand") return demand_report(fields, names, proxy_count);
-  fail_message("kind " + kind + " is not one that an assigner takes",
+  if (kind == "hello") return parse_proxy_registration(fields, names, proxy_count);
+  if (kind == "ack") return parse_ack(fields, proxy_count);
+  if (kind == "outcomes") return parse_endpoint_report(fields, names);
+  if (kind == "demand") return parse_demand_report(fields, names, proxy_count);
+  fail_message("kind " + kind + " is not accepted by an assigner",
                {"t", kind, "probe, agent, hello, ack, outcomes or demand"});
 }
 
@@ -281,12 +282,12 @@
   text.remove_prefix(kPrefix.size());
   while (!text.empty()) {
     std::size_t comma = text.find(',');
-    std::string_view figure = trim_figure(text.substr(0, comma));
+    std::string_view metric = trim(text.substr(0, comma));
     text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
-    std::size_t equals = figure.find('=');
+    std::size_t equals = metric.find('=');
     if (equals == std::string_view::npos) continue;
-    auto value = base::parse_number<double>(figure.substr(equals + 1));
-    if (value && is_valid_load_figure(*value)) set_load_figure(load, figure.substr(0, equals), *value);
+    auto value = base::parse_number<double>(metric.substr(equals + 1));
+    if (value && is_valid_load_metric(*value)) set_load_metric(load, metric.substr(0, equals), *value);
   }
   return load;
 }
@@ -299,7 +300,7 @@
 
 std::string update_lines(std::vector<UpdatePart> parts, std::optional<std::uint32_t> nonce,
                          const settings::Names& names) {
-  if (parts.empty()) parts.emplace_back();  // a nonce alone
+  if (parts.empty()) parts.emplace_back();  // a message with the nonce alone
   std::string lines;
   for (std::size_t index = 0; index < parts.size(); ++index) {
     json object = part_object(parts[index], names);
--- a/src/platform/message.h
+++ b/src/platform/message.h
@@ -1,6 +1,6 @@
-// The platform's wire: one JSON object a line to a typed message, and updates to lines. This is the only
-// place that knows the wire's names; everything else uses the terms of the fields below. Bounded and free of
-// I/O; it keeps no state but LineReader's bytes.
+// The platform's wire protocol: decodes lines of one JSON object each into typed messages and encodes updates
+// into lines. Only this module knows the names used on the wire; all other code uses the field names below.
+// Memory use is bounded. Performs no I/O and keeps no state except LineReader's buffer.
 #pragma once
 
 #include <cstddef>
@@ -20,15 +20,15 @@
 
 using base::Ms;
 
-// What a peer sent that can't be used. what() is the reason that the peer is told on the wire.
+// A peer sent invalid input. what() is the reason; it may be sent to the peer in an `error` message.
 struct ProtocolError : std::runtime_error {
-  // How much is lost: this message alone, or all that would follow on the connection too.
+  // Whether the error affects only the message, or also everything that would follow on the connection.
   enum class Scope { message, connection };
-  // Where the message was wrong; each is empty where it does not apply.
+  // Location of the error. A member is empty if it does not apply.
   struct Detail {
     std::string field;
-    std::string value;  // as received
-    std::string expected;
+    std::string value;     // value as received
+    std::string expected;  // description of a valid value
   };
 
   ProtocolError(Scope error_scope, const std::string& reason, Detail error_detail = {})
@@ -38,119 +38,122 @@
   Detail detail;
 };
 
-// Cuts a connection's bytes into lines.
+// Splits the bytes received on a connection into lines.
 class LineReader {
  public:
-  // `max_line_bytes`: the longest line accepted, without its end.
+  // `max_line_bytes` is the maximum length of a line without its line end.
   explicit LineReader(std::size_t max_line_bytes) : max_line_bytes_(max_line_bytes) {}
 
   void set_max_line_bytes(std::size_t bytes) { max_line_bytes_ = bytes; }
-  // Appends bytes as they were received, in pieces of any size.
+  // Appends received bytes, in chunks of any size.
   void append(std::string_view bytes) { buffer_.append(bytes); }
-  // The next complete line without its end; nothing if none is complete yet. Throws ProtocolError for bytes
-  // that can't become a message, as soon as that can be seen: a line longer than allowed, or one that does
-  // not begin like a JSON object.
+  // Returns the next complete line without its line end, or nothing if no line is complete. Throws
+  // ProtocolError as soon as the buffered bytes cannot become a message: when a line exceeds the maximum
+  // length or does not start like a JSON object.
   std::optional<std::string> next();
-  // Bytes that were received and not handed out.
-  [[nodiscard]] std::size_t unfinished() const { return buffer_.size() - consumed_; }
+  // Returns the number of received bytes that next() has not returned.
+  [[nodiscard]] std::size_t unfinished_bytes() const { return buffer_.size() - consumed_; }
 
  private:
   std::size_t max_line_bytes_;
-  std::size_t consumed_ = 0;  // bytes of buffer_ that were handed out
-  std::size_t searched_ = 0;  // bytes of buffer_ that hold no further line end
+  std::size_t consumed_ = 0;  // bytes at the start of buffer_ that next() has returned
+  std::size_t searched_ = 0;  // bytes at the start of buffer_ without a further line end
   std::string buffer_;
 };
 
 // ---- Messages to an assigner ----
 
-// Asks whether the assigner serves; valid on any connection.
+// Requests an `alive` message. Allowed on any connection, also before a registration.
 struct HealthCheckRequest {};
 
-// The connection is that of a locality's collector.
+// Registers the connection as that of a locality's collector.
 struct CollectorRegistration {
   Locality locality{};
 };
 
-// The connection is a proxy's stream.
+// Registers the connection as a proxy's stream.
 struct ProxyRegistration {
   ProxyId proxy{};
   Locality locality{};
-  double expected_rate = 0;         // requests a second, rough
-  bool only_static_tables = false;  // it holds no table that an assigner sent
+  double expected_rate = 0;         // estimate in requests per second
+  bool only_static_tables = false;  // true if the proxy has no table from an assigner
 };
 
-// The proxy applied all that was sent to it up to this nonce.
+// Acknowledges that the proxy applied all updates up to the one with this nonce.
 struct Ack {
   ProxyId proxy{};
   std::uint32_t nonce = 0;
-  Ms latency = 0;  // from sending to applying, by the proxy's account
+  Ms latency = 0;  // time from sending to applying the update, as measured by the proxy
 };
 
-// Attempts of one locality's proxies that ended at one endpoint.
+// Reports the attempts of one locality's proxies that ended at one endpoint during an interval.
 struct EndpointReportMessage {
   Locality source_locality{};
-  std::string uid;  // the endpoint's name in the discovery service
+  std::string uid;  // name of the endpoint in the discovery service
   double attempts = 0;
   double failed = 0;
-  Ms mean_latency = 0;  // of the successful attempts
-  Ms interval = 0;      // that the report covers
-  LoadReport load;      // the endpoint's last load report; empty: none
+  Ms mean_latency = 0;  // mean over the successful attempts
+  Ms interval = 0;      // time covered by the report
+  LoadReport load;      // latest load report of the endpoint; empty if there is none
 };
 
-// Requests of one class that reached a proxy.
+// Reports the requests of one class that arrived at a proxy during an interval.
 struct DemandReportMessage {
   ProxyId proxy{};
   ClassId request_class{};
   double arrivals = 0;
-  double failed = 0;  // admitted and not answered
-  Ms interval = 0;    // that the report covers
+  double failed = 0;  // requests that were admitted but not answered
+  Ms interval = 0;    // time covered by the report
 };
 
 using Message = std::variant<HealthCheckRequest, CollectorRegistration, ProxyRegistration, Ack,
                              EndpointReportMessage, DemandReportMessage>;
 
-// Reads one line. `proxy_count`: proxies are numbered from 0 to one less. Throws ProtocolError: scope
-// `connection` where the line is no JSON object, scope `message` where the object is no valid message.
+// Decodes one line. Valid proxy numbers range from 0 to `proxy_count` - 1. Throws ProtocolError of scope
+// `connection` if the line is not a JSON object, and of scope `message` if the object is not a valid message.
 Message parse_message(std::string_view line, const settings::Names& names, int proxy_count);
 
-// Reads an endpoint's load report, such as "TEXT inflight=7, queue=2, util=0.61", by the names that the
-// controller knows. Figures that are unknown, unreadable or below 0 are left out.
+// Decodes an endpoint's load report, such as "TEXT inflight=7, queue=2, util=0.61", and returns the metrics
+// under the controller's names. Metrics that are unknown or malformed, or whose value is negative or too
+// large, are omitted.
 [[nodiscard]] LoadReport parse_load_report(std::string_view text);
 
 // ---- Messages of an assigner ----
 
-// The answer to HealthCheckRequest.
+// Returns the response to a HealthCheckRequest.
 [[nodiscard]] std::string alive_line();
-// Tells a peer why its connection is closed.
+// Returns the message that gives a peer the reason for which its connection is closed.
 [[nodiscard]] std::string error_line(std::string_view reason);
 
-// An endpoint's weight in a table.
+// A weight of an endpoint in a table.
 struct WeightEntry {
   std::string uid;
   double weight = 0;  // 0 removes the entry
 };
 
-// The limit that a proxy admits by.
+// An admission limit and the retry mode that applies with it.
 struct PartLimit {
-  double admission_limit = 0;  // a share or requests a second, by Settings::admission_limit_kind
+  double admission_limit = 0;  // share or requests per second, depending on Settings::admission_limit_kind
   RetryMode retry_mode = RetryMode::never;
 };
 
 // One part of an update message to one proxy.
 struct UpdatePart {
-  ClassMask classes = 0;        // whose table is meant; 0: no table
-  bool replaces_table = false;  // the weights are the complete table; former limits are void
+  ClassMask classes = 0;        // classes whose tables are changed; 0: no table
+  bool replaces_table = false;  // true: `weights` is the complete table, and earlier limits become invalid
   std::vector<WeightEntry> weights;
   std::optional<PartLimit> limit;
-  std::vector<std::string> excluded;    // uids that the proxy must not use
-  std::vector<std::string> readmitted;  // uids whose exclusion is lifted
+  std::vector<std::string> excluded;    // uids of endpoints that the proxy must not use
+  std::vector<std::string> readmitted;  // uids of endpoints that the proxy may use again
 };
 
-// The lines of one update message. `nonce`: asked to be acknowledged, in the last part; nothing: no ack. No
-// parts: a message with the nonce alone. The protocol allows 64 parts.
+// Encodes one update message, one line per part. If `nonce` is given, the last part carries it and the proxy
+// acknowledges the message. Without parts, the message consists of the nonce alone. The protocol allows up to
+// 64 parts.
 [[nodiscard]] std::string update_lines(std::vector<UpdatePart> parts, std::optional<std::uint32_t> nonce,
                                        const settings::Names& names);
-// The lines that the message counts in the channel, by the protocol's rule, without the overhead a message.
+// Returns the number of lines that the message counts for in the channel according to the protocol, without
+// the overhead per message.
 [[nodiscard]] double count_lines(const std::vector<UpdatePart>& parts, bool has_nonce);
 
 }  // namespace beamshunt::platform
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -20,23 +20,27 @@
 namespace beamshunt::platform {
 namespace {
 
-// ms to get the listening address: half of what a restarted assigner may take to be ready.
+// Time in ms to bind the listen address: half of the time in which a restarted assigner must be ready.
 constexpr Ms kListenTimeout = 5000;
-// ms between two attempts to listen: short against the time-out.
+// Interval in ms between two attempts to listen: short compared with the timeout.
 constexpr Ms kListenRetryInterval = 50;
-// ms to connect to discovery or an endpoint: they are on the same network.
+// Timeout in ms for connecting to discovery or an endpoint: both are on the same network.
 constexpr Ms kConnectTimeout = 1000;
-// ms without a byte of a watch: its empty lines come every 2 s, so two are missing.
+// Timeout in ms without a byte on a watch: discovery sends an empty line every 2 s, so two of them are
+// missing.
 constexpr Ms kDiscoveryIdleTimeout = 4500;
-// ms for an endpoint to accept the connection and answer: a slower one serves no requests in time.
+// Timeout in ms for an endpoint to accept the connection and respond: a slower endpoint answers no requests
+// in time.
 constexpr Ms kHealthCheckTimeout = 500;
-// Bytes that a peer leaves unread before its connection ends: it would hold memory of all others.
+// Maximum size in bytes of data that a peer has not read. Beyond it the connection is closed, because the
+// buffered data uses memory that all connections share.
 constexpr std::size_t kMaxUnsentBytes = 1048576;
-// Bytes read from one connection in a turn of the loop: no sender may keep the others waiting.
-constexpr std::size_t kMaxBytesPerTurn = 65536;
-// Bytes of one answer of discovery: more than the complete list of the largest fleet.
-constexpr std::size_t kMaxDiscoveryBytes = 4194304;
-// Closed connections that may still take their time to read the reason: each holds a descriptor.
+// Maximum number of bytes read from one connection per iteration of the event loop, so that no sender delays
+// the others.
+constexpr std::size_t kMaxBytesPerIteration = 65536;
+// Maximum size in bytes of a response of discovery: larger than the complete list of the largest fleet.
+constexpr std::size_t kMaxDiscoveryResponseBytes = 4194304;
+// Maximum number of closed connections that wait for the peer to read the reason: each uses a descriptor.
 constexpr std::size_t kMaxLingering = 8;
 constexpr int kHttpOk = 200;
 
@@ -46,8 +50,9 @@
       : file_(std::move(file)),
         log_("", log_endpoints ? log::Level::debug : log::Level::info),
         core_(read_configuration(file_), reactor_.now(), base::wall_ms(), log_endpoints),
-        client_(reactor_,
-                {.connect_ms = kConnectTimeout, .most_idle = 0, .limits = {.body = kMaxDiscoveryBytes}}) {
+        client_(
+            reactor_,
+            {.connect_ms = kConnectTimeout, .most_idle = 0, .limits = {.body = kMaxDiscoveryResponseBytes}}) {
     for (int signal : {SIGTERM, SIGINT}) reactor_.on_signal(signal, [this] { reactor_.stop(); });
     reactor_.on_signal(SIGHUP, [this] { reload(); });
     listen(reactor_.now() + kListenTimeout);
@@ -63,13 +68,13 @@
  private:
   // ---- Listening ----
 
-  // The former process may still hold the address while it ends: that is no reason to fail the start.
+  // Retries while the address is in use: after a restart, the previous process may still be shutting down.
   void listen(Ms deadline) {
     try {
       listener_ = std::make_unique<net::Listener>(
           reactor_, core_.configuration().listen,
           [this](std::shared_ptr<net::Connection> connection) { accept(std::move(connection)); },
-          net::ConnectionOptions{.most_unsent = kMaxUnsentBytes, .most_a_turn = kMaxBytesPerTurn});
+          net::ConnectionOptions{.most_unsent = kMaxUnsentBytes, .most_a_turn = kMaxBytesPerIteration});
     } catch (const std::system_error& error) {
       if (error.code() != std::errc::address_in_use || reactor_.now() >= deadline) {
         listen_error_ = std::current_exception();
@@ -103,17 +108,18 @@
                              core_.on_connection_closed(id, net::reason_name(reason));
                              schedule_run();
                            }});
-    make_room();
+    evict_unregistered();
     schedule_run();
   }
 
-  // Hundreds may be accepted in one turn of the loop. Who has to go for the newest goes at once: otherwise
-  // descriptors run out before the turn ends, and the listener rejects whoever comes next, a proxy included.
-  // Nor has the turn read what they sent: a registration that waits in the kernel's buffer is read first.
-  void make_room() {
+  // Evicts connections at once rather than at the end of the iteration. Hundreds of connections may be
+  // accepted in one iteration of the event loop; descriptors would run out before it ends, and the listener
+  // would reject further connections, including those of proxies. Each connection is read first, because the
+  // iteration may not have read its bytes yet and a registration may be waiting in the kernel's buffer.
+  void evict_unregistered() {
     while (auto candidate = core_.eviction_candidate()) {
       if (auto found = connections_.find(*candidate); found != connections_.end()) {
-        auto connection = found->second;  // reading may close it and drop the table's reference
+        auto connection = found->second;  // keeps it alive: reading may close it and erase the entry
         connection->read_now();
       }
       core_.evict(*candidate);
@@ -121,7 +127,7 @@
     }
   }
 
-  // ---- Running the core: once a turn of the loop, after all that came in it ----
+  // ---- Running the core: once per iteration of the event loop, after all input of the iteration ----
 
   void schedule_run() {
     if (std::exchange(run_scheduled_, true)) return;
@@ -151,8 +157,9 @@
     if (connection != connections_.end()) connection->second->send(std::move(effect.bytes));
   }
 
-  // Closed with bytes unread, a connection is reset, and its peer may never see the reason. So it lingers,
-  // but not so many at a time that their descriptors are missed.
+  // Closing a socket that has unread bytes resets the connection, and the peer may not receive the reason.
+  // The connection therefore stays open until the reason has been sent; the number of such connections is
+  // limited because each uses a descriptor.
   void execute(const CloseConnection& effect) {
     auto connection = connections_.extract(effect.connection);
     if (connection.empty()) return;
@@ -166,7 +173,7 @@
   }
 
   void execute(const OpenWatch& effect) {
-    const ListWatch::Id watch = effect.watch;
+    const WatchSet::Id watch = effect.watch;
     auto request = http::request("GET", "/api/targets?watch=1&from=" + std::to_string(effect.from_version));
     watches_[watch] = client_.listen(
         effect.discovery, request, kDiscoveryIdleTimeout,
@@ -176,7 +183,7 @@
         },
         [this, watch](http::Client::Answer&& answer) {
           watches_.erase(watch);
-          core_.on_watch_ended(watch, failure_text(answer), reactor_.now());
+          core_.on_watch_ended(watch, failure_reason(answer), reactor_.now());
           schedule_run();
         });
   }
@@ -191,33 +198,33 @@
                 [this](http::Client::Answer&& answer) {
                   if (answer.failure == http::Client::Failure::none && answer.message.status == kHttpOk)
                     core_.on_fetched(answer.message.body, reactor_.now(), base::wall_ms());
-                  else core_.on_fetch_failed(failure_text(answer));
+                  else core_.on_fetch_failed(failure_reason(answer));
                   schedule_run();
                 });
   }
 
-  static std::string failure_text(const http::Client::Answer& answer) {
+  static std::string failure_reason(const http::Client::Answer& answer) {
     if (answer.failure != http::Client::Failure::none) return answer.detail;
-    return "it ended with status " + std::to_string(answer.message.status);
+    return "the response ended with status " + std::to_string(answer.message.status);
   }
 
   void execute(const StartHealthCheck& effect) {
-    waiting_health_checks_.push_back(effect);
+    queued_health_checks_.push_back(effect);
     start_health_checks();
   }
 
   void start_health_checks() {
-    const std::size_t limit = max_concurrent_health_checks(core_.configuration().sockets);
-    while (running_health_checks_ < limit && !waiting_health_checks_.empty()) {
+    const std::size_t limit = max_concurrent_health_checks(core_.configuration().descriptor_limit);
+    while (running_health_checks_ < limit && !queued_health_checks_.empty()) {
       ++running_health_checks_;
-      start_health_check(waiting_health_checks_.front());
-      waiting_health_checks_.pop_front();
+      start_health_check(queued_health_checks_.front());
+      queued_health_checks_.pop_front();
     }
   }
 
   void start_health_check(const StartHealthCheck& check) {
     const Ms started = reactor_.now();
-    auto request = http::request("GET", check.wants_load_report ? "/-/load" : "/-/healthy");
+    auto request = http::request("GET", check.request_load_report ? "/-/load" : "/-/healthy");
     client_.ask(check.address, request, kHealthCheckTimeout,
                 [this, started, check](http::Client::Answer&& answer) {
                   --running_health_checks_;
@@ -235,7 +242,7 @@
   void reload() {
     try {
       core_.reconfigure(read_configuration(file_), reactor_.now());
-    } catch (const std::exception& error) {  // the present configuration stays in force
+    } catch (const std::exception& error) {  // the present configuration stays in effect
       log_.write(log::Level::error, "configuration_rejected", {{"reason", error.what()}});
     }
     schedule_run();
@@ -247,11 +254,11 @@
   Core core_;
   http::Client client_;
   std::unique_ptr<net::Listener> listener_;
-  std::exception_ptr listen_error_;  // that ended the start
+  std::exception_ptr listen_error_;  // the error that ended the attempts to listen; rethrown by run()
   std::unordered_map<ConnectionId, std::shared_ptr<net::Connection>> connections_;
   std::deque<std::weak_ptr<net::Connection>> lingering_;
-  std::map<ListWatch::Id, http::Client::Call> watches_;
-  std::deque<StartHealthCheck> waiting_health_checks_;
+  std::map<WatchSet::Id, http::Client::Call> watches_;
+  std::deque<StartHealthCheck> queued_health_checks_;
   std::size_t running_health_checks_ = 0;
   std::uint64_t last_connection_ = 0;
   bool run_scheduled_ = false;
@@ -262,7 +269,8 @@
 }  // namespace
 
 void serve(const std::string& file, bool log_endpoints) {
-  // Before the log's thread starts: a thread that does not block a signal would end the process by it.
+  // Signals must be blocked before the log's thread starts: a signal delivered to a thread that does not
+  // block it would terminate the process.
   net::Reactor::block_signals({SIGTERM, SIGINT, SIGHUP});
   Service(file, log_endpoints).run();
 }
--- a/src/platform/service.h
+++ b/src/platform/service.h
@@ -1,14 +1,15 @@
-// The platform's assigner on sockets: moves bytes between the core and the network, runs its timers and
-// signals, and decides nothing.
+// The shell of the platform's assigner: transfers bytes between the core and the network, and handles the
+// core's timers and the process's signals. It makes no decisions.
 #pragma once
 
 #include <string>
 
 namespace beamshunt::platform {
 
-// Serves until SIGTERM or SIGINT by the configuration in `file`, which is read again at SIGHUP.
-// `log_endpoints`: logs each second what is known of each endpoint. Throws ConfigurationError for a
-// configuration that can't be used, and std::system_error where the address can't be listened on.
+// Runs the assigner with the configuration in `file` until SIGTERM or SIGINT; SIGHUP reloads the file.
+// `log_endpoints` logs the state of each endpoint once a second. Throws ConfigurationError if the
+// configuration is missing or invalid, and std::system_error if the process cannot listen on the configured
+// address.
 void serve(const std::string& file, bool log_endpoints);
 
 }  // namespace beamshunt::platform
--- a/src/platform/session.cpp
+++ b/src/platform/session.cpp
@@ -3,19 +3,21 @@
 namespace beamshunt::platform {
 namespace {
 
-// Bytes of a message before the registration: all valid ones are short, and hundreds of strangers may
-// connect.
+// Maximum size in bytes of a message before the registration. All valid ones are short, and hundreds of
+// unknown peers may connect.
 constexpr std::size_t kMaxHandshakeMessageBytes = 4096;
-// Bytes of any later message, by the protocol.
+// Maximum size in bytes of a message after the registration, as defined by the protocol.
 constexpr std::size_t kMaxMessageBytes = 1048576;
-// ms from connecting to the registration: a stranger's descriptor is needed for proxies.
+// Time limit in ms from connecting to registering: proxies need the descriptors that unknown peers occupy.
 constexpr Ms kHandshakeTimeout = 1000;
-// ms from a message's first byte to its last: longer, and it only holds memory.
+// Time limit in ms from a message's first byte to its last: an incomplete message occupies memory.
 constexpr Ms kMessageTimeout = 3000;
-// ms without a byte: a proxy that serves requests has reported its demand many times in this span.
+// Time in ms without a byte after which a session is idle: a proxy with requests reports its demand far more
+// often.
 constexpr Ms kIdleTimeout = 10000;
-// Malformed messages in a row: the peer speaks another protocol, or its state is broken for good.
-constexpr int kMaxMalformedInARow = 4;
+// Consecutive malformed messages after which the connection is closed: the peer uses another protocol, or its
+// state is permanently corrupt.
+constexpr int kMaxConsecutiveMalformed = 4;
 
 }  // namespace
 
@@ -33,14 +35,14 @@
 }
 
 void Session::receive(std::string_view bytes, Ms now) {
-  if (reader_.unfinished() == 0) unfinished_since_ = now;
+  if (reader_.unfinished_bytes() == 0) unfinished_since_ = now;
   last_received_ = now;
   reader_.append(bytes);
 }
 
 std::optional<std::string> Session::next_message() {
   while (std::optional<std::string> line = reader_.next()) {
-    // What follows a complete line came with it, so the next message begins now.
+    // The bytes after a complete line were received together with its end, so the next message starts then.
     unfinished_since_ = last_received_;
     if (line->find_first_not_of(" \t\r") != std::string::npos) return line;
   }
@@ -48,8 +50,8 @@
 }
 
 bool Session::count_malformed_message() {
-  ++malformed_in_a_row_;
-  return malformed_in_a_row_ >= kMaxMalformedInARow;
+  ++consecutive_malformed_;
+  return consecutive_malformed_ >= kMaxConsecutiveMalformed;
 }
 
 bool Session::handshake_timed_out(Ms now) const {
--- a/src/platform/session.h
+++ b/src/platform/session.h
@@ -1,5 +1,5 @@
-// One connection of a peer: its handshake, the bytes and messages it may send, and its time-outs. It decides
-// when a limit is passed; what follows from that is the core's.
+// The state of one connection opened by a peer: its handshake, limits on bytes and messages, and timeouts. A
+// session detects that a limit is exceeded; the core decides how to react.
 #pragma once
 
 #include <cstddef>
@@ -15,10 +15,10 @@
 
 class Session {
  public:
-  // Who the peer is. A peer registers once, by its first message; health check requests may come before it.
+  // The kind of the peer. A peer registers once, with its first message other than a health check request.
   enum class Role { handshake_pending, collector, proxy };
 
-  // `now`: ms of the monotonic clock, here and below.
+  // Here and below, `now` is in ms of the monotonic clock.
   explicit Session(Ms now);
 
   // ---- Handshake ----
@@ -26,32 +26,35 @@
   [[nodiscard]] bool is_registered() const { return role_ != Role::handshake_pending; }
   void register_collector();
   void register_proxy(const ProxyRegistration& registration);
-  // Of a proxy. By its own last word; after a change of controllers it holds tables that one of them sent.
+  // Returns the registration of a proxy as received, except that mark_tables_assigned() may have changed
+  // `only_static_tables`.
   [[nodiscard]] const ProxyRegistration& registration() const { return registration_; }
+  // Records that the proxy may have tables from an assigner, for the registration with a new controller.
   void mark_tables_assigned() { registration_.only_static_tables = false; }
 
   // ---- Bytes ----
   void receive(std::string_view bytes, Ms now);
-  // The next message that is complete and not blank; nothing if there is none. Throws ProtocolError of scope
-  // `connection` for bytes that can't become a message.
+  // Returns the next complete message, skipping blank lines, or nothing if there is none. Throws
+  // ProtocolError of scope `connection` if the received bytes cannot become a message.
   [[nodiscard]] std::optional<std::string> next_message();
-  [[nodiscard]] std::size_t unfinished_bytes() const { return reader_.unfinished(); }
+  [[nodiscard]] std::size_t unfinished_bytes() const { return reader_.unfinished_bytes(); }
   [[nodiscard]] Ms last_received() const { return last_received_; }
 
-  // ---- Limits and time-outs ----
-  void count_valid_message() { malformed_in_a_row_ = 0; }
-  // Whether so many messages in a row were malformed that the connection is of no further use.
+  // ---- Limits and timeouts ----
+  void count_valid_message() { consecutive_malformed_ = 0; }
+  // Returns true if the limit of consecutive malformed messages is reached and the connection must be closed.
   [[nodiscard]] bool count_malformed_message();
-  // The peer has not registered in time.
+  // Returns true if the peer has not registered in time.
   [[nodiscard]] bool handshake_timed_out(Ms now) const;
-  // A message was begun and has not ended in time.
+  // Returns true if a message has been incomplete for too long.
   [[nodiscard]] bool message_timed_out(Ms now) const;
-  // Nothing was received for so long that a live proxy would have reported its demand.
+  // Returns true if nothing was received for so long that a healthy proxy with requests would have reported
+  // its demand.
   [[nodiscard]] bool is_idle(Ms now) const;
 
-  // ---- Messages sent to a proxy, which the settings limit within a window ----
+  // ---- Messages sent to a proxy; the settings limit their number within a time window ----
   void count_sent_message(Ms now) { sent_messages_.push_back(now); }
-  // Messages within the last `window` ms.
+  // Returns the number of messages sent within the last `window` ms, and drops older ones from the count.
   [[nodiscard]] std::size_t sent_messages_within(Ms window, Ms now);
 
  private:
@@ -59,10 +62,10 @@
   LineReader reader_;
   Ms opened_at_ = 0;
   Ms last_received_ = 0;
-  Ms unfinished_since_ = 0;  // when the unfinished message began
+  Ms unfinished_since_ = 0;  // when the first byte of the incomplete message was received
   ProxyRegistration registration_;
-  int malformed_in_a_row_ = 0;
-  std::deque<Ms> sent_messages_;  // when; older ones than the window are forgotten
+  int consecutive_malformed_ = 0;
+  std::deque<Ms> sent_messages_;  // sending times, without those before the window
 };
 
 }  // namespace beamshunt::platform
--- a/src/platform/session_table.cpp
+++ b/src/platform/session_table.cpp
@@ -5,26 +5,28 @@
 namespace beamshunt::platform {
 namespace {
 
-// Descriptors for all but peers and health checks: event loop, listener, discovery, files.
+// Descriptors reserved for the event loop, the listener, discovery and files.
 constexpr std::size_t kReservedDescriptors = 32;
-// Health checks at a time: those of endpoints that hang must leave some for the others.
+// Lower bound for the number of concurrent health checks: checks of endpoints that hang must not block those
+// of the others.
 constexpr std::size_t kMinHealthChecks = 16;
-// Health checks at a time: more would only be a burst on one core.
+// Upper bound for the number of concurrent health checks: more checks would only cause bursts on a single
+// core.
 constexpr std::size_t kMaxHealthChecks = 64;
-// Part of the descriptors that health checks may hold is one of so many: most are for proxies.
-constexpr std::size_t kSocketsPerHealthCheck = 16;
-// Collectors of a locality: one, and what is left of broken connections.
+// One of this many descriptors may be used for health checks: most are needed for proxies.
+constexpr std::size_t kDescriptorsPerHealthCheck = 16;
+// Maximum number of collectors per locality: one, plus sessions of broken connections that were not detected.
 constexpr std::size_t kMaxCollectorsPerLocality = 4;
 
 }  // namespace
 
-std::size_t max_concurrent_health_checks(std::size_t sockets) {
-  return std::clamp(sockets / kSocketsPerHealthCheck, kMinHealthChecks, kMaxHealthChecks);
+std::size_t max_concurrent_health_checks(std::size_t descriptor_limit) {
+  return std::clamp(descriptor_limit / kDescriptorsPerHealthCheck, kMinHealthChecks, kMaxHealthChecks);
 }
 
 std::size_t SessionTable::max_sessions() const {
-  const std::size_t reserved = kReservedDescriptors + max_concurrent_health_checks(sockets_);
-  return sockets_ > 2 * reserved ? sockets_ - reserved : reserved;
+  const std::size_t reserved = kReservedDescriptors + max_concurrent_health_checks(descriptor_limit_);
+  return descriptor_limit_ > 2 * reserved ? descriptor_limit_ - reserved : reserved;
 }
 
 void SessionTable::add(ConnectionId id, Ms now) {
@@ -56,8 +58,8 @@
   return handshakes_.front();
 }
 
-// Past the last descriptor that may be given away, one registration more would cost all others the endpoint
-// list and the health checks.
+// Throws if no descriptor is left for another registered peer. One more registration would use a descriptor
+// that discovery and the health checks need, and thus affect all proxies.
 void SessionTable::require_descriptor() const {
   if (registered_ >= max_sessions())
     throw ProtocolError(ProtocolError::Scope::connection, "there are descriptors for no more who join",
--- a/src/platform/session_table.h
+++ b/src/platform/session_table.h
@@ -1,5 +1,5 @@
-// All open sessions: who is registered as which proxy or collector, and who makes room where descriptors run
-// short. It closes nothing itself: it names the connection that has to go.
+// All open sessions: maps registered proxies and collectors to connections, and selects the connection to
+// evict when descriptors run short. The caller closes connections; the table does not.
 #pragma once
 
 #include <cstddef>
@@ -14,37 +14,41 @@
 
 namespace beamshunt::platform {
 
-// Health checks that may run at a time, of a process that may hold so many descriptors. Each holds one.
-[[nodiscard]] std::size_t max_concurrent_health_checks(std::size_t sockets);
+// Returns how many health checks may run concurrently in a process with this many descriptors. Each check
+// uses one descriptor.
+[[nodiscard]] std::size_t max_concurrent_health_checks(std::size_t descriptor_limit);
 
 class SessionTable {
  public:
   using Sessions = std::map<ConnectionId, Session>;
 
-  // `sockets`: descriptors that the process may hold. Some are reserved for discovery, health checks and
-  // files.
-  explicit SessionTable(std::size_t sockets) : sockets_(sockets) {}
-  void set_sockets(std::size_t sockets) { sockets_ = sockets; }
+  // `descriptor_limit` is the maximum number of open descriptors of the process. Some of them are reserved
+  // for discovery, health checks and files.
+  explicit SessionTable(std::size_t descriptor_limit) : descriptor_limit_(descriptor_limit) {}
+  void set_descriptor_limit(std::size_t descriptor_limit) { descriptor_limit_ = descriptor_limit; }
 
+  // Adds an unregistered session for a connection that was opened at `now` (ms).
   void add(ConnectionId id, Ms now);
-  // Null if the connection is over. Valid until its session is removed.
+  // Returns the session of a connection, or null if it has ended. The pointer is valid until the session is
+  // removed.
   [[nodiscard]] Session* find(ConnectionId id);
-  // Drops the session and its registration.
+  // Removes the session and its registration.
   void remove(ConnectionId id);
 
-  // The session that has to make room for others: the oldest that has not registered, for it had its time.
-  // Nothing while there are descriptors enough, or where all are registered.
+  // Returns the oldest unregistered session, which has had the most time to register, or nothing while there
+  // are enough descriptors or if all sessions are registered.
   [[nodiscard]] std::optional<ConnectionId> eviction_candidate();
 
-  // Registers the session, which must be open. Throws ProtocolError of scope `connection` where no
-  // descriptors are left for more who register; the session is as it was then.
+  // Both register an open session. They throw ProtocolError of scope `connection` if no descriptors are left
+  // for another registered peer; the session is then unchanged.
   void register_proxy(ConnectionId id, const ProxyRegistration& registration);
   void register_collector(ConnectionId id, Locality locality);
 
-  // The connection of a registered proxy.
+  // Returns the connection of a proxy, or nothing if the proxy is not registered.
   [[nodiscard]] std::optional<ConnectionId> connection_of(ProxyId proxy) const;
-  // The oldest collector of the locality, if one has to go before another registers. Nothing is ever sent to
-  // a collector, so the session of one that vanished never ends by itself: newer ones push it out.
+  // Returns the oldest collector of the locality if it must be closed before another one may register, else
+  // nothing. Assigners send nothing to collectors, so the loss of a collector's machine is never detected on
+  // the connection; the limit removes such sessions.
   [[nodiscard]] std::optional<ConnectionId> surplus_collector(Locality locality);
 
   [[nodiscard]] Sessions& sessions() { return sessions_; }
@@ -56,12 +60,12 @@
   [[nodiscard]] std::size_t max_sessions() const;
   void require_descriptor() const;
 
-  std::size_t sockets_;
+  std::size_t descriptor_limit_;
   Sessions sessions_;
   std::size_t registered_ = 0;
   std::map<ProxyId, ConnectionId> proxies_;
-  std::map<Locality, std::deque<ConnectionId>> collectors_;  // in the order of registration; some are over
-  std::deque<ConnectionId> handshakes_;  // in the order of connecting; some are registered or over
+  std::map<Locality, std::deque<ConnectionId>> collectors_;  // by registration time; may have ended
+  std::deque<ConnectionId> handshakes_;  // by connection time; may be registered or have ended
 };
 
 }  // namespace beamshunt::platform
--- a/src/platform/update_writer.cpp
+++ b/src/platform/update_writer.cpp
@@ -12,13 +12,13 @@
 namespace beamshunt::platform {
 namespace {
 
-ClassMask mask_of(ClassId request_class) { return ClassMask{1} << base::raw(request_class); }
+ClassMask class_mask(ClassId request_class) { return ClassMask{1} << base::raw(request_class); }
 
-// The part that may take one more update for exactly these classes, a new one if there is none. A proxy
-// applies parts in their order, so an update may not join a part before a later one that concerns one of the
-// classes and that it must follow: `must_follow` tells whether that holds of a part.
+// Returns the part to which an update for exactly `classes` can be added; appends a part if there is none. A
+// proxy applies parts in order, so the update must not be added before a part that shares one of the classes
+// and that the update must follow. `must_follow` returns true for such a part.
 template <typename Predicate>
-UpdatePart& part_for(UpdateWriter::Parts& parts, ClassMask classes, Predicate must_follow) {
+UpdatePart& find_or_add_part(UpdateWriter::Parts& parts, ClassMask classes, Predicate must_follow) {
   for (UpdatePart& part : std::views::reverse(parts)) {
     if (part.classes == classes) return part;
     if ((part.classes & classes) != 0 && must_follow(part)) break;
@@ -37,8 +37,8 @@
 std::map<ProxyId, UpdateWriter::Parts> UpdateWriter::take_messages() { return std::exchange(messages_, {}); }
 
 void UpdateWriter::write(ProxyId proxy, const assignments::Update& update) {
-  // The proxy is sent a message even where nothing of the update can be written, as the controller counted
-  // it.
+  // The proxy receives a message even if no part of the update can be written, because the controller has
+  // counted the message.
   add_message(proxy);
   std::visit([&](const auto& concrete) { write_update(proxy, concrete); }, update);
 }
@@ -50,20 +50,20 @@
 void UpdateWriter::write_update(ProxyId proxy, const assignments::TableCleared& update) {
   const ClassMask classes = tables_.classes_using(proxy, update.table);
   messages_[proxy].push_back(UpdatePart{.classes = classes, .replaces_table = true});
-  // The limit for all tables outlives the table's own.
+  // Clearing removes the table's own limits; the limit for all tables stays in force.
   write_limits(proxy, update.table, classes);
 }
 
 void UpdateWriter::write_update(ProxyId proxy, const assignments::WeightChanged& update) {
-  // A proxy ends a stream that names an endpoint which discovery never listed.
+  // A proxy closes a stream on which it receives the name of an endpoint that discovery never listed.
   const std::string* uid = catalog_.uid(update.endpoint);
   if (uid == nullptr) return;
-  UpdatePart& part =
-      part_for(messages_[proxy], tables_.classes_using(proxy, update.table),
-               [](const UpdatePart& later) { return later.replaces_table || !later.weights.empty(); });
-  auto same = std::find_if(part.weights.begin(), part.weights.end(),
-                           [&](const WeightEntry& entry) { return entry.uid == *uid; });
-  if (same != part.weights.end()) same->weight = update.weight;
+  UpdatePart& part = find_or_add_part(
+      messages_[proxy], tables_.classes_using(proxy, update.table),
+      [](const UpdatePart& later) { return later.replaces_table || !later.weights.empty(); });
+  auto existing = std::find_if(part.weights.begin(), part.weights.end(),
+                               [&](const WeightEntry& entry) { return entry.uid == *uid; });
+  if (existing != part.weights.end()) existing->weight = update.weight;
   else part.weights.push_back({*uid, update.weight});
 }
 
@@ -89,9 +89,9 @@
     const ClassId request_class{index};
     auto limit = tables_.effective_limit(table, request_class);
     if (!limit) continue;
-    UpdatePart& part = part_for(messages_[proxy], mask_of(request_class), [](const UpdatePart& later) {
-      return later.replaces_table || later.limit.has_value();
-    });
+    UpdatePart& part = find_or_add_part(
+        messages_[proxy], class_mask(request_class),
+        [](const UpdatePart& later) { return later.replaces_table || later.limit.has_value(); });
     part.limit = PartLimit{limit->limit, limit->retry_mode};
   }
 }
--- a/src/platform/update_writer.h
+++ b/src/platform/update_writer.h
@@ -1,10 +1,11 @@
-// What the controller decided, as update messages: each action on tables becomes the updates of the proxies
-// that it concerns, and the updates of one batch to one proxy become the parts of one message. It sends
-// nothing.
+// Translates the controller's decisions into update messages. Each action on tables becomes updates for the
+// affected proxies, and all updates of one batch for one proxy become the parts of one message. The writer
+// sends nothing.
 //
-// The protocol has no table numbers: a proxy has one table a class, so a table's change goes out for the
-// classes that the proxy uses it for. Nor has it a limit for all tables: what goes out is the limit in force
-// for each table and class, again after each replacement of a table, which voids its limits.
+// The protocol has no table numbers: a proxy has one table per class, so a change of a table is written for
+// the classes for which the proxy uses the table. The protocol has no limit for all tables either: the writer
+// writes the limit in force for each table and class, and repeats it after each replacement of a table, which
+// invalidates the table's limits.
 #pragma once
 
 #include <cstddef>
@@ -21,30 +22,30 @@
  public:
   using Parts = std::vector<UpdatePart>;
 
-  // `directory` must outlive this.
+  // `catalog` must outlive the writer.
   explicit UpdateWriter(const EndpointCatalog& catalog) : catalog_(catalog), tables_(0) {}
 
-  // A controller starts: it has decided nothing yet. Proxies have to be registered again. `class_count`:
-  // number of request classes, at most 63.
+  // Resets all tables for a new controller, which has made no decisions yet. Proxies must be registered
+  // again. `class_count` is the number of request classes, at most 63.
   void start_controller(std::size_t class_count) { tables_ = assignments::AssignmentTables(class_count); }
 
   void register_proxy(ProxyId proxy) { tables_.register_proxy(proxy); }
-  // Its message of this batch is dropped too.
+  // Removes the proxy and drops its message of the current batch.
   void remove_proxy(ProxyId proxy);
 
-  // Adds what the action comes to for each registered proxy that it concerns. `TableAction`: any that
-  // AssignmentTables applies.
+  // Applies an action to the tables and adds the resulting updates for each affected registered proxy.
+  // `TableAction` is any action type that AssignmentTables::apply() accepts.
   template <typename TableAction>
   void apply(const TableAction& action) {
     tables_.apply(action, [this](ProxyId proxy, const assignments::Update& update) { write(proxy, update); });
   }
-  // The proxy gets a message in this batch, if only to acknowledge it.
+  // Ensures that the proxy receives a message in this batch, even one that only requests an ack.
   void add_message(ProxyId proxy) { messages_[proxy]; }
 
-  // The messages of this batch by proxy, and begins the next batch.
+  // Returns the messages of this batch by proxy and starts the next batch.
   [[nodiscard]] std::map<ProxyId, Parts> take_messages();
 
-  // What the controller has decided so far.
+  // Returns the tables that result from the controller's decisions so far.
   [[nodiscard]] const assignments::AssignmentTables& tables() const { return tables_; }
 
  private:
@@ -58,7 +59,7 @@
 
   const EndpointCatalog& catalog_;
   assignments::AssignmentTables tables_;
-  std::map<ProxyId, Parts> messages_;  // of this batch
+  std::map<ProxyId, Parts> messages_;  // messages of the current batch
 };
 
 }  // namespace beamshunt::platform
--- a/tests/platform/ack_tracker_test.cpp
+++ b/tests/platform/ack_tracker_test.cpp
@@ -62,10 +62,10 @@
 TEST_F(AckTrackerTest, ANonceIsOverdueByTheAckOfALaterOne) {
   send(kFirst, kFirstProxy, 0);
   std::uint32_t later = send(kSecond, kSecondProxy, 10);
-  EXPECT_FALSE(acks.overdue_since_sent(kFirst, kMaxUpdateDelay, 5000)) << "the channel may be slow";
+  EXPECT_FALSE(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 5000)) << "the channel may be slow";
   acks.acknowledge(kSecond, later, 5000);
-  EXPECT_FALSE(acks.overdue_since_sent(kFirst, kMaxUpdateDelay, 6500));
-  EXPECT_EQ(acks.overdue_since_sent(kFirst, kMaxUpdateDelay, 6501), 0);
+  EXPECT_FALSE(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 6500));
+  EXPECT_EQ(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 6501), 0);
 }
 
 // Only earlier messages were acknowledged: nothing says that this one has left the channel.
@@ -73,8 +73,8 @@
   std::uint32_t earlier = send(kSecond, kSecondProxy, 0);
   send(kFirst, kFirstProxy, 10);
   acks.acknowledge(kSecond, earlier, 20);
-  EXPECT_FALSE(acks.overdue_since_sent(kFirst, kMaxUpdateDelay, 20010));
-  EXPECT_TRUE(acks.overdue_since_sent(kFirst, kMaxUpdateDelay, 20011));
+  EXPECT_FALSE(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 20010));
+  EXPECT_TRUE(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 20011));
 }
 
 // New settings replace the controller while messages of the former one are in the channel. Their lines count
@@ -85,7 +85,7 @@
   acks.start_controller();
   acks.carry_over(kFirst);
   acks.carry_over(kSecond);
-  EXPECT_EQ(acks.other_lines(), 9);
+  EXPECT_EQ(acks.external_lines(), 9);
   acks.acknowledge(kFirst, former, 100);
   EXPECT_TRUE(events<UpdateAcknowledged>().empty());
   ASSERT_EQ(events<SharedChannelUsage>().size(), 1u);
--- a/tests/platform/core_test.cpp
+++ b/tests/platform/core_test.cpp
@@ -429,11 +429,11 @@
 // A fetch of the list fails while a watch is open: nothing is lost. Without a watch it is.
 TEST(PlatformCore, AFetchThatFailsWhileAWatchServesLosesNoList) {
   Rig rig;
-  rig.core.on_fetch_failed("it ended with status 503");
+  rig.core.on_fetch_failed("the response ended with status 503");
   rig.run_once();
   EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 0u);
   rig.core.on_watch_ended(rig.newest_watch(), "reset", rig.now);
-  rig.core.on_fetch_failed("it ended with status 503");
+  rig.core.on_fetch_failed("the response ended with status 503");
   rig.run_once();
   EXPECT_EQ(rig.count_logged("endpoint_list_lost"), 2u);
 }
--- a/tests/platform/endpoint_catalog_test.cpp
+++ b/tests/platform/endpoint_catalog_test.cpp
@@ -118,7 +118,7 @@
 // their new numbers.
 TEST_F(EndpointCatalogTest, OtherLocalitiesLeaveOutWhoIsInNoneOfThem) {
   apply(four());
-  catalog.rename({{"west", "south"}, {"look"}});
+  catalog.update_localities({{"west", "south"}, {"look"}});
   ASSERT_EQ(catalog.listed().size(), 2u);
   for (const ListedEndpoint& e : catalog.listed()) EXPECT_EQ(e.locality, Locality{1});
   EXPECT_EQ(catalog.version(), 0u);
--- a/tests/platform/message_test.cpp
+++ b/tests/platform/message_test.cpp
@@ -104,7 +104,7 @@
       while (auto line = reader.next()) pieces.push_back(*line);
     }
     EXPECT_EQ(pieces, whole);
-    EXPECT_EQ(reader.unfinished(), 4u);
+    EXPECT_EQ(reader.unfinished_bytes(), 4u);
   }
 }
 
--- a/tests/platform/rig.h
+++ b/tests/platform/rig.h
@@ -84,9 +84,9 @@
     return id;
   }
   // What discovery tells on a watch: the newest one, or that of a number.
-  ListWatch::Id newest_watch() const { return got<OpenWatch>().back().watch; }
+  WatchSet::Id newest_watch() const { return got<OpenWatch>().back().watch; }
   void tell(const json& object) { tell(newest_watch(), object); }
-  void tell(ListWatch::Id watch, const json& object) {
+  void tell(WatchSet::Id watch, const json& object) {
     core.on_watch_bytes(watch, object.dump() + "\n", now, now);
   }
   void bytes(ConnectionId id, const std::string& bytes) { core.on_bytes(id, bytes, now); }
--- a/tests/platform/session_table_test.cpp
+++ b/tests/platform/session_table_test.cpp
@@ -6,13 +6,13 @@
 namespace beamshunt::platform {
 namespace {
 
-constexpr std::size_t kSockets = 128;  // of which 32 are reserved, and 16 are for health checks
+constexpr std::size_t kDescriptorLimit = 128;  // of which 32 are reserved, and 16 are for health checks
 constexpr std::uint64_t kMaxSessions = 80;
 
 ProxyRegistration proxy(std::uint32_t id) { return {.proxy = ProxyId{id}}; }
 
 TEST(SessionTable, NobodyMakesRoomWhileThereAreDescriptorsEnough) {
-  SessionTable table(kSockets);
+  SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= kMaxSessions; ++k) table.add(ConnectionId{k}, 0);
   EXPECT_FALSE(table.eviction_candidate());
 }
@@ -20,7 +20,7 @@
 // Strangers connect by the hundred and say nothing. The oldest goes first, for it had its time; a proxy that
 // is registered stays, however old.
 TEST(SessionTable, TheOldestUnregisteredSessionMakesRoom) {
-  SessionTable table(kSockets);
+  SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= kMaxSessions + 1; ++k) table.add(ConnectionId{k}, 0);
   table.register_proxy(ConnectionId{1}, proxy(0));
   EXPECT_EQ(table.eviction_candidate(), ConnectionId{2});
@@ -31,7 +31,7 @@
 // More proxies come than there are descriptors. One registration more would cost all the endpoint list, so it
 // is rejected, until another's end makes room.
 TEST(SessionTable, NoMoreRegisterThanThereAreDescriptorsFor) {
-  SessionTable table(kSockets);
+  SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= kMaxSessions + 1; ++k) table.add(ConnectionId{k}, 0);
   for (std::uint64_t k = 1; k <= kMaxSessions; ++k)
     table.register_proxy(ConnectionId{k}, proxy(static_cast<std::uint32_t>(k)));
@@ -48,7 +48,7 @@
 
 // A locality's collector reconnects again and again, and its broken connections never end by themselves.
 TEST(SessionTable, TheOldestOfTooManyCollectorsIsSurplus) {
-  SessionTable table(kSockets);
+  SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= 4; ++k) {
     table.add(ConnectionId{k}, 0);
     EXPECT_FALSE(table.surplus_collector(Locality{0}));
--- a/tests/platform/list_watch_test.cpp
+++ b/tests/platform/watch_set_test.cpp
@@ -1,5 +1,5 @@
 // Which watch counts: every order of what two of them tell, fail and close.
-#include "platform/list_watch.h"
+#include "platform/watch_set.h"
 
 #include <gtest/gtest.h>
 
@@ -12,19 +12,19 @@
 namespace {
 
 // Opens a watch; `closed` receives those that are over by it.
-ListWatch::Id open(ListWatch& list, std::vector<ListWatch::Id>& closed) {
-  ListWatch::Opened opened = list.open();
+WatchSet::Id open(WatchSet& list, std::vector<WatchSet::Id>& closed) {
+  WatchSet::Opened opened = list.open();
   closed.insert(closed.end(), opened.superseded.begin(), opened.superseded.end());
   return opened.id;
 }
 
-TEST(ListWatch, HandsOutCompleteObjectsWhateverThePieces) {
-  ListWatch list(1);
-  std::vector<ListWatch::Id> closed;
+TEST(WatchSet, HandsOutCompleteObjectsWhateverThePieces) {
+  WatchSet list(1);
+  std::vector<WatchSet::Id> closed;
   auto n = open(list, closed);
   const std::string bytes = "{\"rev\":1}\n\n \r\n{\"rev\":2}\n{\"rev";
   for (std::size_t size = 1; size <= bytes.size(); ++size) {
-    ListWatch one(1);
+    WatchSet one(1);
     auto number = open(one, closed);
     std::vector<std::string> objects;
     for (std::size_t from = 0; from < bytes.size(); from += size)
@@ -36,25 +36,25 @@
 
 // Discovery has moved and the new watch has brought nothing yet. Until it does, the former one is the only
 // source of drains.
-TEST(ListWatch, AFormerWatchIsOverOnlyOnceTheNewOneServes) {
-  ListWatch list(1);
-  std::vector<ListWatch::Id> closed;
+TEST(WatchSet, AFormerWatchIsOverOnlyOnceTheNewOneServes) {
+  WatchSet list(1);
+  std::vector<WatchSet::Id> closed;
   auto first = open(list, closed);
-  list.mark_serving(first);
+  list.mark_active(first);
   auto second = open(list, closed);
   EXPECT_TRUE(closed.empty());
   EXPECT_EQ(list.receive(first, "{}\n").size(), 1u);
-  EXPECT_EQ(list.mark_serving(second), std::vector{first});
+  EXPECT_EQ(list.mark_active(second), std::vector{first});
   EXPECT_TRUE(list.receive(first, "{}\n").empty());
-  EXPECT_EQ(list.end(first, 0), ListWatch::EndEffect::none);
+  EXPECT_EQ(list.end(first, 0), WatchSet::EndResult::none);
 }
 
 // Discovery moves again and again. Each watch holds a descriptor, so no more than the serving one and the
 // newest stay open.
-TEST(ListWatch, NoMoreThanTwoAreOpenHoweverOftenItMoves) {
-  ListWatch list(1);
-  std::vector<ListWatch::Id> closed;
-  list.mark_serving(open(list, closed));
+TEST(WatchSet, NoMoreThanTwoAreOpenHoweverOftenItMoves) {
+  WatchSet list(1);
+  std::vector<WatchSet::Id> closed;
+  list.mark_active(open(list, closed));
   for (int k = 0; k < 50; ++k) open(list, closed);
   EXPECT_EQ(closed.size(), 49u);
   EXPECT_EQ(list.open_count(), 2u);
@@ -62,30 +62,30 @@
 
 // Watches end in every order. The list is lost only when none is left; with a newer one on its way, the end
 // of a former one means nothing.
-TEST(ListWatch, TheListIsLostWithTheLastWatchAlone) {
-  using EndEffect = ListWatch::EndEffect;
-  std::vector<ListWatch::Id> closed;
-  ListWatch list(1);
+TEST(WatchSet, TheListIsLostWithTheLastWatchAlone) {
+  using EndResult = WatchSet::EndResult;
+  std::vector<WatchSet::Id> closed;
+  WatchSet list(1);
   auto first = open(list, closed);
-  list.mark_serving(first);
+  list.mark_active(first);
   auto second = open(list, closed);
-  EXPECT_EQ(list.end(second, 0), EndEffect::newest_lost);
-  EXPECT_EQ(list.end(second, 0), EndEffect::none) << "twice";
-  EXPECT_EQ(list.end(first, 0), EndEffect::all_lost);
+  EXPECT_EQ(list.end(second, 0), EndResult::newest_lost);
+  EXPECT_EQ(list.end(second, 0), EndResult::none) << "twice";
+  EXPECT_EQ(list.end(first, 0), EndResult::all_lost);
   auto third = open(list, closed);
-  list.mark_serving(third);
+  list.mark_active(third);
   auto fourth = open(list, closed);
-  EXPECT_EQ(list.end(third, 0), EndEffect::none) << "the fourth is on its way";
-  EXPECT_EQ(list.end(fourth, 0), EndEffect::all_lost);
+  EXPECT_EQ(list.end(third, 0), EndResult::none) << "the fourth is on its way";
+  EXPECT_EQ(list.end(fourth, 0), EndResult::all_lost);
 }
 
 // Discovery goes down and all assigners lose their watches at once. Coming back together, they would
 // overload it.
-TEST(ListWatch, RetriesAreSpreadAndBoundedAndBeginAnewOnceAWatchServes) {
+TEST(WatchSet, RetriesAreSpreadAndBoundedAndBeginAnewOnceAWatchServes) {
   std::set<Ms> first;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
-    ListWatch list(seed);
-    std::vector<ListWatch::Id> closed;
+    WatchSet list(seed);
+    std::vector<WatchSet::Id> closed;
     for (int k = 0; k < 12; ++k) {
       list.end(open(list, closed), 1000);
       EXPECT_GE(list.retry_at(), 1125);
@@ -93,7 +93,7 @@
       if (k == 0) first.insert(list.retry_at());
     }
     EXPECT_GE(list.retry_at(), 2000);
-    list.mark_serving(open(list, closed));
+    list.mark_active(open(list, closed));
     list.end(open(list, closed), 1000);
     EXPECT_LE(list.retry_at(), 1250);
   }
@@ -101,9 +101,9 @@
 }
 
 // A broken source sends bytes without a line end. They must not fill the memory.
-TEST(ListWatch, AnObjectWithoutEndIsNotHeldForever) {
-  ListWatch list(1);
-  std::vector<ListWatch::Id> closed;
+TEST(WatchSet, AnObjectWithoutEndIsNotHeldForever) {
+  WatchSet list(1);
+  std::vector<WatchSet::Id> closed;
   auto n = open(list, closed);
   std::string block(1 << 20, 'x');
   EXPECT_THROW(for (int k = 0; k < 6; ++k) list.receive(n, block), WatchError);
