--- a/tests/platform/ack_tracker_test.cpp
+++ b/tests/platform/ack_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Nonces in flight: what an ack releases, when one is overdue, and whose lines remain after a handover.
+// Tests which nonces an ack releases, when a nonce is overdue, and which lines are reported after a handover.
 #include "platform/ack_tracker.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
   std::uint32_t sequence_number = 0;
 };
 
-TEST_F(AckTrackerTest, AnAckReleasesAllNoncesUpToItsOwn) {
+TEST_F(AckTrackerTest, AckReleasesAllNoncesUpToItsOwn) {
   send(kFirst, kFirstProxy, 0);
   std::uint32_t second = send(kFirst, kFirstProxy, 10);
   send(kFirst, kFirstProxy, 20);
@@ -47,9 +47,9 @@
   EXPECT_TRUE(acks.has_unacknowledged(kFirst));
 }
 
-// The channel was slow, so a nonce was released before its ack came. The ack is late and no error of the
-// proxy. A nonce that was never sent on the stream is one.
-TEST_F(AckTrackerTest, ALateAckIsToldFromAnUnknownOne) {
+// The channel is slow, and a nonce is released before its ack arrives. The ack is late, which is not an error
+// of the proxy. An ack of a nonce that was never sent on the stream is an error.
+TEST_F(AckTrackerTest, LateAckIsDistinguishedFromAnUnknownNonce) {
   std::uint32_t nonce = send(kFirst, kFirstProxy, 0);
   acks.release_oldest(kFirst, 100);
   EXPECT_EQ(acks.acknowledge(kFirst, nonce, 200), AckTracker::AckResult::late);
@@ -57,9 +57,9 @@
   EXPECT_EQ(acks.acknowledge(kSecond, nonce, 200), AckTracker::AckResult::unknown);
 }
 
-// A proxy's machine vanished. Its connection stays open and silent, so only the acks of the others show it: a
-// later message was acknowledged, and the longest delay has passed since.
-TEST_F(AckTrackerTest, ANonceIsOverdueByTheAckOfALaterOne) {
+// A proxy's machine vanishes and its connection stays open and silent. Only the acks of other proxies reveal
+// this: a later message was acknowledged, and the maximum delay has passed since.
+TEST_F(AckTrackerTest, NonceIsOverdueAfterTheAckOfALaterNonce) {
   send(kFirst, kFirstProxy, 0);
   std::uint32_t later = send(kSecond, kSecondProxy, 10);
   EXPECT_FALSE(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 5000)) << "the channel may be slow";
@@ -68,8 +68,8 @@
   EXPECT_EQ(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 6501), 0);
 }
 
-// Only earlier messages were acknowledged: nothing says that this one has left the channel.
-TEST_F(AckTrackerTest, TheAckOfAnEarlierOneMakesNoNonceOverdueBeforeTheLongestWait) {
+// Only earlier messages were acknowledged, so there is no evidence that this one has left the channel.
+TEST_F(AckTrackerTest, AckOfAnEarlierNonceMakesNoNonceOverdueBeforeTheMaximumWait) {
   std::uint32_t earlier = send(kSecond, kSecondProxy, 0);
   send(kFirst, kFirstProxy, 10);
   acks.acknowledge(kSecond, earlier, 20);
@@ -77,9 +77,10 @@
   EXPECT_TRUE(acks.overdue_sent_at(kFirst, kMaxUpdateDelay, 20011));
 }
 
-// New settings replace the controller while messages of the former one are in the channel. Their lines count
-// until they are acknowledged, or their stream ends; their sequence numbers mean nothing to the new one.
-TEST_F(AckTrackerTest, AfterAHandoverTheFormerControllersLinesAreReportedUntilTheyAreReleased) {
+// New settings replace the controller while messages of the previous one are in the channel. Their lines
+// count until they are acknowledged or their stream ends; their sequence numbers have no meaning for the new
+// controller.
+TEST_F(AckTrackerTest, LinesOfAPreviousControllerAreReportedUntilTheyAreReleased) {
   std::uint32_t former = send(kFirst, kFirstProxy, 0, 4);
   send(kSecond, kSecondProxy, 0, 5);
   acks.start_controller();
@@ -95,7 +96,7 @@
   EXPECT_EQ(events<SharedChannelUsage>()[1].queued_lines, 0);
 }
 
-TEST_F(AckTrackerTest, ALivenessCheckIsReportedAsAnothersMessage) {
+TEST_F(AckTrackerTest, LivenessCheckIsReportedAsUsageByAnotherSender) {
   std::uint32_t nonce = acks.next_nonce();
   acks.add_liveness_check(kFirst, kFirstProxy, nonce, 4, 0);
   ASSERT_EQ(events<SharedChannelUsage>().size(), 1u);
@@ -106,9 +107,9 @@
   EXPECT_TRUE(events<UpdateAcknowledged>().empty());
 }
 
-// The ack of the present controller's message is never its own account of another's lines, also when the
-// stream ends with it in flight.
-TEST_F(AckTrackerTest, TheEndOfAStreamReportsNothingOfThePresentControllersLines) {
+// Lines of the present controller are never reported to it as usage by another sender, even if the stream
+// ends while they are in flight.
+TEST_F(AckTrackerTest, EndOfAStreamReportsNoLinesOfThePresentController) {
   send(kFirst, kFirstProxy, 0);
   acks.remove(kFirst);
   EXPECT_TRUE(outputs.events.empty());
--- a/tests/platform/endpoint_catalog_test.cpp
+++ b/tests/platform/endpoint_catalog_test.cpp
@@ -1,9 +1,9 @@
-// Discovery's objects: what they change, and what an unusable value in one leaves untouched.
+// Tests how list objects of discovery change the catalog, and how invalid values in them are handled.
 #include "platform/endpoint_catalog.h"
 
 #include <gtest/gtest.h>
 
-#include "platform/rig.h"
+#include "platform/core_harness.h"
 
 namespace beamshunt::platform::test {
 namespace {
@@ -12,8 +12,8 @@
 
 struct EndpointCatalogTest : ::testing::Test {
   EndpointCatalog catalog;
-  EndpointCatalog::Change apply(const json& object, Ms now = 1000, double wall = 5e11) {
-    return catalog.apply(object.dump(), kNames, now, wall);
+  EndpointCatalog::Change apply(const json& object, Ms now = 1000, double wall_now = 5e11) {
+    return catalog.apply(object.dump(), kNames, now, wall_now);
   }
   EndpointState state(const char* uid) const {
     for (const ListedEndpoint& e : catalog.listed())
@@ -22,10 +22,13 @@
   }
 };
 
-TEST_F(EndpointCatalogTest, IdsComeFromNamesAloneAndLeadBack) {
-  apply(four());
+TEST_F(EndpointCatalogTest, IdsDependOnlyOnUidsAndMapBackToThem) {
+  apply(four_endpoints());
   EndpointCatalog other;
-  other.apply(list(9, true, {target("s-d", "south"), target("s-x", "north"), target("s-a", "north")}).dump(),
+  other.apply(endpoint_list(9, true,
+                            {endpoint_entry("s-d", "south"), endpoint_entry("s-x", "north"),
+                             endpoint_entry("s-a", "north")})
+                  .dump(),
               kNames, 0, 0);
   for (const char* uid : {"s-a", "s-d"}) {
     EXPECT_EQ(catalog.find(uid), other.find(uid));
@@ -34,62 +37,67 @@
   EXPECT_FALSE(catalog.find("s-x"));
 }
 
-TEST_F(EndpointCatalogTest, ChangesNameSomeAWholeListNamesAll) {
-  apply(four());
-  auto change = apply(list(6, false, {target("s-b", "north", "terminating")}));
+TEST_F(EndpointCatalogTest, IncrementalListChangesSomeEntriesAndCompleteListRemovesUnlisted) {
+  apply(four_endpoints());
+  auto change = apply(endpoint_list(6, false, {endpoint_entry("s-b", "north", "terminating")}));
   EXPECT_EQ(change.list.kind, EndpointListKind::incremental);
   EXPECT_EQ(change.list.entries.size(), 1u);
   EXPECT_EQ(state("s-b"), EndpointState::draining);
   EXPECT_EQ(state("s-a"), EndpointState::available);
-  apply(list(7, true, {target("s-a", "north")}));
+  apply(endpoint_list(7, true, {endpoint_entry("s-a", "north")}));
   EXPECT_EQ(catalog.listed().size(), 1u);
   EXPECT_EQ(state("s-c"), EndpointState::removed);
   EXPECT_EQ(catalog.version(), 7u);
-  EXPECT_TRUE(catalog.uid(*catalog.find("s-c"))) << "orders that remove its lines still name it";
+  EXPECT_TRUE(catalog.uid(*catalog.find("s-c"))) << "updates that remove its weight still name it";
 }
 
-// Entries come with values that can't be used. A drain in the same entry or in the next counts as told, so
-// it must be applied; the version is requested again.
-TEST_F(EndpointCatalogTest, AnUnusableValueStopsNeitherTheOtherEntriesNorTheDrainBesideIt) {
-  apply(four());
-  json drains = target("s-a", "nowhere", "terminating");
-  drains["capacity_hint"] = -4, drains["endpoint"] = 7, drains["boot_ms"] = "x", drains["pod_group"] = 1.5;
-  json nameless = target("", "north");
-  auto change = apply(list(6, false,
-                           {drains, nameless, 3, target("s-n", "nowhere"), target("s-b", "north", "odd"),
-                            target("s-c", "south", "terminating")}));
+// Entries contain invalid values. A drain in the same entry or in another one is binding, so it must be
+// applied; the version is requested again.
+TEST_F(EndpointCatalogTest, InvalidValueAffectsNeitherOtherEntriesNorADrainInTheSameEntry) {
+  apply(four_endpoints());
+  json draining = endpoint_entry("s-a", "nowhere", "terminating");
+  draining["capacity_hint"] = -4, draining["endpoint"] = 7, draining["boot_ms"] = "x",
+  draining["pod_group"] = 1.5;
+  json without_uid = endpoint_entry("", "north");
+  auto change = apply(
+      endpoint_list(6, false,
+                    {draining, without_uid, 3, endpoint_entry("s-n", "nowhere"),
+                     endpoint_entry("s-b", "north", "odd"), endpoint_entry("s-c", "south", "terminating")}));
   EXPECT_EQ(state("s-a"), EndpointState::draining);
-  EXPECT_EQ(state("s-b"), EndpointState::available) << "what was said before holds";
+  EXPECT_EQ(state("s-b"), EndpointState::available) << "the previous state is kept";
   EXPECT_EQ(state("s-c"), EndpointState::draining);
-  EXPECT_FALSE(catalog.find("s-n")) << "neither its place nor its state can be guessed";
+  EXPECT_FALSE(catalog.find("s-n")) << "locality and state have no defaults";
   EXPECT_EQ(change.errors.size(), 9u);
-  EXPECT_EQ(catalog.version(), 5u) << "a version taken in part is asked for again";
-  EXPECT_TRUE(catalog.address(*catalog.find("s-a"))) << "the address known before";
+  EXPECT_EQ(catalog.version(), 5u) << "a revision applied in part is requested again";
+  EXPECT_TRUE(catalog.address(*catalog.find("s-a"))) << "the previous address is kept";
 }
 
-// Discovery restarts from an older state. Its changes still hold.
-TEST_F(EndpointCatalogTest, ARevisionThatGoesBackIsApplied) {
-  apply(four());
-  apply(list(2, false, {target("s-b", "north", "terminating")}));
+// Discovery restarts from an older state. Its changes are still valid.
+TEST_F(EndpointCatalogTest, LowerRevisionIsApplied) {
+  apply(four_endpoints());
+  apply(endpoint_list(2, false, {endpoint_entry("s-b", "north", "terminating")}));
   EXPECT_EQ(state("s-b"), EndpointState::draining);
   EXPECT_EQ(catalog.version(), 2u);
 }
 
-// A former watch, or a source that lags behind, brings an older revision late. What is new in it is
-// applied, but no endpoint that drains or is removed becomes available by it.
-TEST_F(EndpointCatalogTest, AnOlderRevisionTakesBackNoDrainAndNoStart) {
-  apply(four());
-  json restarted = target("s-c", "south");
+// An older watch, or a source that lags behind, delivers an outdated revision. New information in it is
+// applied, but no draining or removed endpoint becomes available through it.
+TEST_F(EndpointCatalogTest, OutdatedRevisionRevertsNoDrainAndNoStart) {
+  apply(four_endpoints());
+  json restarted = endpoint_entry("s-c", "south");
   restarted["boot_ms"] = 5e11 - 100;
-  apply(list(9, false,
-             {target("s-a", "north", "terminating"), target("s-b", "north", "terminated"), restarted}));
-  for (bool all : {false, true}) {  // a former watch's answer, or a whole list from a source that lags
-    json older = four();
-    older["all"] = all, older["rev"] = all ? 6 : 8;
-    older["targets"].push_back(target("s-n", "north"));
-    auto change = apply(older);
+  apply(endpoint_list(9, false,
+                      {endpoint_entry("s-a", "north", "terminating"),
+                       endpoint_entry("s-b", "north", "terminated"), restarted}));
+  for (bool complete :
+       {false, true}) {  // an older watch's changes, or a complete list from a source that lags
+    json outdated_list = four_endpoints();
+    outdated_list["all"] = complete, outdated_list["rev"] = complete ? 6 : 8;
+    outdated_list["targets"].push_back(endpoint_entry("s-n", "north"));
+    auto change = apply(outdated_list);
     EXPECT_TRUE(change.outdated);
-    EXPECT_EQ(change.list.kind, EndpointListKind::incremental) << "it does not know who came since";
+    EXPECT_EQ(change.list.kind, EndpointListKind::incremental)
+        << "it lacks the endpoints that were added since";
     EXPECT_EQ(state("s-a"), EndpointState::draining);
     EXPECT_EQ(state("s-b"), EndpointState::removed);
     EXPECT_EQ(state("s-n"), EndpointState::available);
@@ -97,75 +105,79 @@
       EXPECT_EQ(e.start_time_known, e.id == catalog.find("s-c"));
     for (const ListedEndpoint& e : change.list.entries) EXPECT_EQ(e.id, catalog.find("s-n"));
   }
-  EXPECT_EQ(catalog.version(), 6u) << "from there on it tells again what came since";
-  apply(list(10, false, {target("s-a", "north")}));
-  EXPECT_EQ(state("s-a"), EndpointState::available) << "a newer one may take a drain back";
+  EXPECT_EQ(catalog.version(), 6u) << "later changes are requested again from this revision on";
+  apply(endpoint_list(10, false, {endpoint_entry("s-a", "north")}));
+  EXPECT_EQ(state("s-a"), EndpointState::available) << "a newer revision may revert a drain";
 }
 
-// One revision was malformed in part and valid ones follow. What was lost may be a drain, so the version
-// must stay before it until the list was requested again.
-TEST_F(EndpointCatalogTest, AMalformedRevisionIsRequestedAgainHoweverValidTheNextOnesAre) {
-  apply(four());
-  apply(list(6, false, {target("s-a", "north", "odd")}));
-  apply(list(7, false, {target("s-b", "north", "terminating")}));
-  EXPECT_EQ(catalog.version(), 5u) << "the sixth may have told of a drain";
+// One revision is partly malformed, and valid ones follow. The lost part may contain a drain, so the version
+// must stay below that revision until the list is requested again.
+TEST_F(EndpointCatalogTest, MalformedRevisionIsRequestedAgainEvenIfLaterOnesAreValid) {
+  apply(four_endpoints());
+  apply(endpoint_list(6, false, {endpoint_entry("s-a", "north", "odd")}));
+  apply(endpoint_list(7, false, {endpoint_entry("s-b", "north", "terminating")}));
+  EXPECT_EQ(catalog.version(), 5u) << "revision 6 may have contained a drain";
   catalog.on_resubscribe();
-  apply(list(7, false, {target("s-a", "north", "terminating"), target("s-b", "north", "terminating")}));
+  apply(endpoint_list(
+      7, false,
+      {endpoint_entry("s-a", "north", "terminating"), endpoint_entry("s-b", "north", "terminating")}));
   EXPECT_EQ(catalog.version(), 7u);
 }
 
-// New settings name other localities. Endpoints in none of them are not listed any more, and the others get
-// their new numbers.
-TEST_F(EndpointCatalogTest, OtherLocalitiesLeaveOutWhoIsInNoneOfThem) {
-  apply(four());
+// New settings name other localities. Endpoints outside them are no longer listed, and the remaining ones get
+// the new locality numbers.
+TEST_F(EndpointCatalogTest, NewLocalitiesRemoveEndpointsOutsideThem) {
+  apply(four_endpoints());
   catalog.update_localities({{"west", "south"}, {"look"}});
   ASSERT_EQ(catalog.listed().size(), 2u);
   for (const ListedEndpoint& e : catalog.listed()) EXPECT_EQ(e.locality, Locality{1});
   EXPECT_EQ(catalog.version(), 0u);
 }
 
-// The wall clock is set while endpoints run. Computed anew from each object, an endpoint's start would move
-// and look like a restart, which means a slow start.
-TEST_F(EndpointCatalogTest, AStartIsOneInstantWhateverTheWallClockDoesLater) {
-  json started = target("s-a", "north");
-  started["boot_ms"] = 5e11 - 400;
-  auto first = apply(list(1, true, {started})).list.entries[0];
+// The wall clock is adjusted while endpoints run. If an endpoint's start time were computed anew from each
+// object, it would shift and look like a restart, which would trigger a slow start.
+TEST_F(EndpointCatalogTest, StartTimeDoesNotChangeWithTheWallClock) {
+  json entry = endpoint_entry("s-a", "north");
+  entry["boot_ms"] = 5e11 - 400;
+  auto first = apply(endpoint_list(1, true, {entry})).list.entries[0];
   EXPECT_TRUE(first.start_time_known);
   EXPECT_EQ(first.start_time, Time(Duration(600)));
-  EXPECT_EQ(apply(list(2, false, {started}), 2000, 5e11 + 9000).list.entries[0].start_time, first.start_time);
-  started["boot_ms"] = 5e11 + 1500;
-  EXPECT_EQ(apply(list(3, false, {started}), 2000, 5e11 + 1000).list.entries[0].start_time,
+  EXPECT_EQ(apply(endpoint_list(2, false, {entry}), 2000, 5e11 + 9000).list.entries[0].start_time,
+            first.start_time);
+  entry["boot_ms"] = 5e11 + 1500;
+  EXPECT_EQ(apply(endpoint_list(3, false, {entry}), 2000, 5e11 + 1000).list.entries[0].start_time,
             Time(Duration(2500)));
 }
 
-// All endpoints are replaced every minute for hours. Memory must not grow, but updates still name an
-// endpoint for some time after its removal.
-TEST_F(EndpointCatalogTest, RemovedEndpointsAreForgottenInTimeAndNotAtOnce) {
+// All endpoints are replaced every minute for hours. Memory must not grow, but updates still name an endpoint
+// for some time after its removal.
+TEST_F(EndpointCatalogTest, RemovedEndpointsAreDroppedAfterARetentionTime) {
   Ms now = 1000;
-  std::string last;
-  for (int k = 0; k < 500; ++k) {  // all are replaced every minute, for hours
+  std::string previous_uid;
+  for (int k = 0; k < 500; ++k) {
     std::vector<json> present;
     for (int i = 0; i < 20; ++i) {
-      present.push_back(target("s-" + std::to_string(k) + "-" + std::to_string(i), "north"));
+      present.push_back(endpoint_entry("s-" + std::to_string(k) + "-" + std::to_string(i), "north"));
       if (k > 0)
         present.push_back(
-            target("s-" + std::to_string(k - 1) + "-" + std::to_string(i), "north", "terminated"));
+            endpoint_entry("s-" + std::to_string(k - 1) + "-" + std::to_string(i), "north", "terminated"));
     }
-    apply(list(static_cast<std::uint64_t>(k) + 1, false, present), now += 60000);
-    EXPECT_TRUE(last.empty() || catalog.uid(*catalog.find(last))) << "its line may have to go yet";
-    last = "s-" + std::to_string(k) + "-0";
+    apply(endpoint_list(static_cast<std::uint64_t>(k) + 1, false, present), now += 60000);
+    EXPECT_TRUE(previous_uid.empty() || catalog.uid(*catalog.find(previous_uid)))
+        << "an update may still have to remove its weight";
+    previous_uid = "s-" + std::to_string(k) + "-0";
   }
   EXPECT_LE(catalog.size(), 20u * 7);
   EXPECT_FALSE(catalog.find("s-1-0"));
   EXPECT_EQ(catalog.listed().size(), 20u);
 }
 
-// Discovery answers with bytes that are no list. They are rejected as a whole.
-TEST_F(EndpointCatalogTest, WhatIsNoListChangesNothing) {
-  apply(four());
-  for (const char* bad : {"", "[]", "{", R"({"rev":1,"all":true})", R"({"rev":1,"targets":[]})",
-                          R"({"rev":-1,"all":true,"targets":[]})", R"({"rev":1,"all":1,"targets":[]})"})
-    EXPECT_THROW(catalog.apply(bad, kNames, 0, 0), EndpointListError) << bad;
+// Discovery returns bytes that are not a list object. They are rejected as a whole.
+TEST_F(EndpointCatalogTest, InvalidListObjectChangesNothing) {
+  apply(four_endpoints());
+  for (const char* invalid : {"", "[]", "{", R"({"rev":1,"all":true})", R"({"rev":1,"targets":[]})",
+                              R"({"rev":-1,"all":true,"targets":[]})", R"({"rev":1,"all":1,"targets":[]})"})
+    EXPECT_THROW(catalog.apply(invalid, kNames, 0, 0), EndpointListError) << invalid;
   EXPECT_EQ(catalog.listed().size(), 4u);
 }
 
--- a/tests/platform/message_test.cpp
+++ b/tests/platform/message_test.cpp
@@ -1,4 +1,5 @@
-// The platform's lines: what is taken, what is refused and how far the rejection goes.
+// Tests the platform's wire protocol: which lines are accepted, which are rejected, and whether a rejection
+// ends the connection.
 #include "platform/message.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +24,7 @@
   }
 }
 
-TEST(Message, ValidOnesAreRead) {
+TEST(Message, ValidMessagesAreParsed) {
   auto registration = std::get<ProxyRegistration>(
       parse_message(R"({"t":"hello","node":17,"locality":"south","w":21.5,"cold":true})", kNames, 40));
   EXPECT_EQ(registration.proxy, ProxyId{17});
@@ -42,14 +43,14 @@
   EXPECT_EQ(demand.request_class, ClassId{1});
   auto ack = std::get<Ack>(parse_message(R"({"t":"ack","node":3,"nonce":905,"latency":310.4})", kNames, 40));
   EXPECT_EQ(ack.nonce, 905u);
-  // Tries that all failed have no mean time.
+  // Without a successful attempt, the mean latency may be missing.
   EXPECT_FALSE(rejection(
       R"({"t":"outcomes","locality":"north","endpoint":"s-a","total":2,"errors":2,"interval":1000})"));
 }
 
-// A field of a message is missing, of the wrong type or out of range. That message is rejected and the next
-// can still be read; bytes that are no JSON object end the connection.
-TEST(Message, AMalformedFieldMakesItsMessageAloneMalformed) {
+// A field of a message is missing, has the wrong type or is out of range. Only that message is rejected, and
+// the next one can still be read. Bytes that are not a JSON object end the connection.
+TEST(Message, MalformedFieldRejectsOnlyItsMessage) {
   using nlohmann::json;
   json valid[] = {
       {{"t", "hello"}, {"node", 1}, {"locality", "north"}, {"w", 2.0}, {"cold", false}},
@@ -70,13 +71,15 @@
       malformed.erase(name);
       EXPECT_EQ(rejection(malformed.dump()), Scope::message) << malformed;
       for (const json& wrong : {json(nullptr), json("zz"), json(json::array()), json(-1), json(1e300)}) {
-        if (name == "endpoint" && wrong.is_string()) continue;  // the catalog knows
+        if (name == "endpoint" && wrong.is_string())
+          continue;  // any string is valid here; the catalog checks uids
         malformed[name] = wrong;
         EXPECT_EQ(rejection(malformed.dump()), Scope::message) << malformed;
       }
     }
   }
-  // Of requests some come in one interval and fail in the next; a try ends in the interval that counts it.
+  // Requests may fail in a later interval than the one in which they arrive, so failures may exceed arrivals.
+  // An attempt is counted in the interval in which it ends, so failures may not exceed attempts.
   EXPECT_FALSE(rejection(R"({"t":"demand","node":1,"route":"buy","total":1,"errors":2,"interval":500})"));
   EXPECT_EQ(rejection(R"({"t":"outcomes","locality":"north","endpoint":"s","total":1,"errors":2,"rtt":1,)"
                       R"("interval":500})"),
@@ -87,36 +90,36 @@
   EXPECT_EQ(rejection("{\"t\":"), Scope::connection);
 }
 
-TEST(LineReader, HandsOutTheSameLinesInPiecesOfAnySize) {
+TEST(LineReader, ReturnsTheSameLinesForChunksOfAnySize) {
   std::string bytes = "{\"a\":1}\n\r\n  {}\n{\"b\":[2]}\n{\"un";
-  std::vector<std::string> whole;
-  LineReader once(100);
-  once.append(bytes);
-  while (auto line = once.next()) whole.push_back(*line);
-  ASSERT_EQ(whole.size(), 4u);
+  std::vector<std::string> expected_lines;
+  LineReader single_chunk(100);
+  single_chunk.append(bytes);
+  while (auto line = single_chunk.next()) expected_lines.push_back(*line);
+  ASSERT_EQ(expected_lines.size(), 4u);
   beamshunt::test::Draw draw(5);
   for (int round = 0; round < 50; ++round) {
-    std::vector<std::string> pieces;
+    std::vector<std::string> lines;
     LineReader reader(100);
     for (std::size_t from = 0, size; from < bytes.size(); from += size) {
       size = std::min<std::size_t>(1 + draw(6), bytes.size() - from);
       reader.append(std::string_view(bytes).substr(from, size));
-      while (auto line = reader.next()) pieces.push_back(*line);
+      while (auto line = reader.next()) lines.push_back(*line);
     }
-    EXPECT_EQ(pieces, whole);
+    EXPECT_EQ(lines, expected_lines);
     EXPECT_EQ(reader.unfinished_bytes(), 4u);
   }
 }
 
-// A peer speaks HTTP or TLS, or sends a line without end. Its first bytes show it: waiting for the line's
-// end would hold memory and a descriptor.
-TEST(LineReader, RejectsAsSoonAsNoMessageCanCome) {
+// A peer speaks HTTP or TLS, or sends a line without end. The first bytes must be rejected, because waiting
+// for a line end would occupy memory and a descriptor.
+TEST(LineReader, RejectsBytesAsSoonAsTheyCannotBecomeAMessage) {
   LineReader http(100);
   http.append("G");
   EXPECT_THROW(http.next(), ProtocolError);
-  LineReader zeros(100);
-  zeros.append(std::string(1, '\0'));
-  EXPECT_THROW(zeros.next(), ProtocolError);
+  LineReader binary(100);
+  binary.append(std::string(1, '\0'));
+  EXPECT_THROW(binary.next(), ProtocolError);
   LineReader endless(100);
   endless.append("{" + std::string(100, ' '));
   EXPECT_THROW(endless.next(), ProtocolError);
@@ -125,10 +128,11 @@
   EXPECT_TRUE(fits.next());
 }
 
-TEST(LoadReport, IsReadByTheControllersNamesAndUnusableFiguresAreLeftOut) {
+TEST(LoadReport, UsesTheControllersNamesAndOmitsInvalidMetrics) {
   EXPECT_EQ(parse_load_report("TEXT inflight=7, queue=2, util=0.61\n"),
             (LoadReport{{"outstanding", 7}, {"backlog", 2}, {"utilization", 0.61}}));
-  // Tasks were seen to report by the names of the settings' columns: not one of their reports was read.
+  // Endpoints may also use the controller's names. When only the short names were accepted, all reports of
+  // such endpoints were ignored.
   EXPECT_EQ(parse_load_report("TEXT utilization=0.25, backlog=3"),
             (LoadReport{{"backlog", 3}, {"utilization", 0.25}}));
   EXPECT_EQ(parse_load_report("TEXT util=-1, queue=x, odd=3, =4, inflight=1e99, eps=2"),
@@ -136,7 +140,7 @@
   EXPECT_TRUE(parse_load_report("util=0.5").empty());
 }
 
-TEST(Push, PartsOfOneMessageCarryOneNonceInTheLast) {
+TEST(Push, LastPartOfAMessageCarriesTheNonce) {
   std::vector<UpdatePart> parts(2);
   parts[0] = {.classes = 1, .replaces_table = true, .weights = {{"s-a", 1.5}}};
   parts[1] = {.classes = 3, .limit = PartLimit{4.0, RetryMode::if_not_processed}};
--- a/tests/platform/service_test.cpp
+++ b/tests/platform/service_test.cpp
@@ -1,5 +1,6 @@
-// The assigner as the platform starts it: a process by the deploy file's `run`, against a small stand-in for
-// discovery, tasks, proxies and strangers on loopback. BEAMSHUNT_RUN has the command.
+// Tests the assigner as the platform starts it: as a process started with the `run` command of the deploy
+// file, with simulated discovery, endpoints, proxies and unknown peers on the loopback interface.
+// BEAMSHUNT_RUN contains the command.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/stat.h>
@@ -12,7 +13,7 @@
 
 #include "base/file.h"
 #include "http/server.h"
-#include "platform/rig.h"
+#include "platform/core_harness.h"
 #include "process/child.h"
 
 namespace beamshunt::platform::test {
@@ -20,56 +21,60 @@
 
 constexpr std::uint32_t kLoopback = 0x7f000001;
 
-class Peer {  // a connection to the assigner and all that it was told
+// A connection to the assigner, with the messages received on it.
+class Peer {
  public:
-  Peer(net::Reactor& reactor, net::Address to) : connection(net::Connection::dial(reactor, to, {})) {
-    connection->start({[this] { connected = true; }, [this](std::string_view bytes) { came += bytes; },
-                       [this] { over = true; }, [this](net::CloseReason) { over = true; }});
+  Peer(net::Reactor& reactor, net::Address address)
+      : connection(net::Connection::dial(reactor, address, {})) {
+    connection->start({[this] { connected = true; },
+                       [this](std::string_view bytes) { received_bytes += bytes; }, [this] { closed = true; },
+                       [this](net::CloseReason) { closed = true; }});
   }
   ~Peer() { connection->close(); }
-  void say(const json& message) { connection->send(message.dump() + "\n"); }
-  std::vector<json> told(const char* kind) const {
-    std::vector<json> out;
-    std::istringstream lines(came);
+  void send(const json& message) { connection->send(message.dump() + "\n"); }
+  std::vector<json> received(const char* kind) const {
+    std::vector<json> result;
+    std::istringstream lines(received_bytes);
     for (std::string line; std::getline(lines, line);)
-      if (auto m = json::parse(line, nullptr, false); m.is_object() && m["t"] == kind) out.push_back(m);
-    return out;
+      if (auto parsed = json::parse(line, nullptr, false); parsed.is_object() && parsed["t"] == kind)
+        result.push_back(parsed);
+    return result;
   }
-  bool holds(const std::string& uid) const {
-    bool held = false;
-    for (const json& m : told("push")) {
-      if (m.value("replace", false)) held = false;
-      for (const json& row : m.value("rows", json::array()))
-        if (row[0] == uid) held = row[1] > 0;
+  bool has_endpoint(const std::string& uid) const {
+    bool found = false;
+    for (const json& parsed : received("push")) {
+      if (parsed.value("replace", false)) found = false;
+      for (const json& row : parsed.value("rows", json::array()))
+        if (row[0] == uid) found = row[1] > 0;
     }
-    return held;
+    return found;
   }
   std::shared_ptr<net::Connection> connection;
-  std::string came;
-  bool over = false, connected = false;
+  std::string received_bytes;
+  bool closed = false, connected = false;
 };
 
-struct Discovery {
-  explicit Discovery(net::Reactor& reactor)
+struct DiscoveryServer {
+  explicit DiscoveryServer(net::Reactor& reactor)
       : server(reactor, {kLoopback, 0},
                [this](http::Message&& request, http::Responder responder) {
-                 asked.push_back(request.target);
-                 if (refusals > 0) {
-                   --refusals;
-                   return responder.send(http::response(503, list(9, true, {}).dump() + "\n"));
+                 request_targets.push_back(request.target);
+                 if (remaining_refusals > 0) {
+                   --remaining_refusals;
+                   return responder.send(http::response(503, endpoint_list(9, true, {}).dump() + "\n"));
                  }
-                 if (holds) return watches.push_back(responder);
+                 if (delay_responses) return watches.push_back(responder);
                  responder.begin_stream(200, "application/json");
-                 responder.stream(four().dump() + "\n");
+                 responder.stream(four_endpoints().dump() + "\n");
                  watches.push_back(responder);
                },
                {}) {}
-  void tell(const json& object) {
-    for (auto& w : watches) w.stream(object.dump() + "\n");
+  void publish(const json& object) {
+    for (auto& watch : watches) watch.stream(object.dump() + "\n");
   }
-  int refusals = 0;    // calls that are answered 503, with a body that looks like a list
-  bool holds = false;  // calls wait for an answer
-  std::vector<std::string> asked;
+  int remaining_refusals = 0;    // number of requests to answer with 503 and a body that looks like a list
+  bool delay_responses = false;  // true: requests get no response
+  std::vector<std::string> request_targets;
   std::vector<http::Responder> watches;
   http::Server server;
 };
@@ -78,165 +83,168 @@
  protected:
   void SetUp() override {
     const char* run = std::getenv("BEAMSHUNT_RUN");
-    ASSERT_TRUE(run) << "BEAMSHUNT_RUN has the command that starts the assigner";
-    run_line = run;
-    folder = ::testing::TempDir() + "platform-" + std::to_string(::getpid());
+    ASSERT_TRUE(run) << "BEAMSHUNT_RUN must contain the command that starts the assigner";
+    run_command = run;
+    path_prefix = ::testing::TempDir() + "platform-" + std::to_string(::getpid());
     net::Listener free_port(reactor, {kLoopback, 0}, [](auto) {});
     listen = free_port.address();
-    configured = configuration();
-    configured["listen"] = net::to_string(listen);
-    configured["discovery"] = net::to_string(discovery.server.address());
+    config = configuration();
+    config["listen"] = net::to_string(listen);
+    config["discovery"] = net::to_string(discovery.server.address());
   }
-  void write_configuration(const std::string& bytes) { base::replace_file(folder + ".json", bytes); }
+  void write_configuration(const std::string& bytes) { base::replace_file(path_prefix + ".json", bytes); }
   void start(const std::string& log = {}) {
-    write_configuration(configured.dump());
-    ::setenv("BALANCER_CONFIG", (folder + ".json").c_str(), 1);
+    write_configuration(config.dump());
+    ::setenv("BALANCER_CONFIG", (path_prefix + ".json").c_str(), 1);
     child = std::make_unique<process::Child>("/bin/sh",
-                                             std::vector<std::string>{"-c", "ulimit -n 256; " + run_line},
-                                             log.empty() ? folder + ".log" : log);
+                                             std::vector<std::string>{"-c", "ulimit -n 256; " + run_command},
+                                             log.empty() ? path_prefix + ".log" : log);
   }
   void start_and_wait() {
     start();
-    until("alive", [&] { return alive(); });
+    wait_until("alive", [&] { return alive(); });
   }
   bool alive() {
-    if (!asking_peer || asking_peer->over) {
-      asking_peer = std::make_unique<Peer>(reactor, listen);
-      asking_peer->say({{"t", "probe"}});
+    if (!health_check_peer || health_check_peer->closed) {
+      health_check_peer = std::make_unique<Peer>(reactor, listen);
+      health_check_peer->send({{"t", "probe"}});
     }
-    return !asking_peer->told("alive").empty();
+    return !health_check_peer->received("alive").empty();
   }
-  void until(const char* what, const std::function<bool()>& done, Ms most = 10000) {
+  void wait_until(const char* condition, const std::function<bool()>& done, Ms timeout = 10000) {
     bool expired = false;
-    auto limit = reactor.at(base::monotonic_ms() + most, [&] { expired = true, reactor.stop(); });
-    std::function<void()> look = [&] {
+    auto limit = reactor.at(base::monotonic_ms() + timeout, [&] { expired = true, reactor.stop(); });
+    std::function<void()> poll = [&] {
       if (done()) return reactor.stop();
-      reactor.at(reactor.now() + 10, look);
+      reactor.at(reactor.now() + 10, poll);
     };
-    auto first = reactor.at(reactor.now(), look);
+    auto first = reactor.at(reactor.now(), poll);
     reactor.run();
     reactor.cancel(limit), reactor.cancel(first);
-    ASSERT_FALSE(expired) << what << "; log: " << base::read_file(folder + ".log").value_or("");
+    ASSERT_FALSE(expired) << condition << "; log: " << base::read_file(path_prefix + ".log").value_or("");
   }
-  std::unique_ptr<Peer> join(int node) {
+  std::unique_ptr<Peer> register_proxy(int number) {
     auto peer = std::make_unique<Peer>(reactor, listen);
-    peer->say({{"t", "hello"}, {"node", node}, {"locality", "north"}, {"w", 20.0}, {"cold", true}});
+    peer->send({{"t", "hello"}, {"node", number}, {"locality", "north"}, {"w", 20.0}, {"cold", true}});
     return peer;
   }
-  std::unique_ptr<Peer> start_and_serve_one() {
+  std::unique_ptr<Peer> start_with_one_proxy() {
     start_and_wait();
-    auto proxy = join(0);
-    until("a table", [&] { return proxy->holds("s-a"); });
+    auto proxy = register_proxy(0);
+    wait_until("a table", [&] { return proxy->has_endpoint("s-a"); });
     return proxy;
   }
-  void move_to(Discovery& other) {
-    configured["discovery"] = net::to_string(other.server.address());
-    write_configuration(configured.dump());
+  void move_discovery(DiscoveryServer& new_discovery) {
+    config["discovery"] = net::to_string(new_discovery.server.address());
+    write_configuration(config.dump());
     child->signal(SIGHUP);
   }
 
   net::Reactor reactor;
-  Discovery discovery{reactor};
+  DiscoveryServer discovery{reactor};
   net::Address listen;
-  json configured;
+  json config;
   std::unique_ptr<process::Child> child;
-  std::string run_line, folder;
-  std::unique_ptr<Peer> asking_peer;
+  std::string run_command, path_prefix;
+  std::unique_ptr<Peer> health_check_peer;
 };
 
-TEST_F(PlatformProcess, TablesAndDrainsReachAProxyAndSigtermEndsItInOrder) {
+TEST_F(PlatformProcess, TablesAndDrainsReachAProxyAndSigtermStopsTheProcess) {
   start_and_wait();
-  auto proxy = join(0);
-  until("a table", [&] { return proxy->holds("s-a") && proxy->holds("s-b"); });
-  EXPECT_TRUE(proxy->told("push").back().contains("stamp"));
-  proxy->say({{"t", "ack"}, {"node", 0}, {"nonce", proxy->told("push").back()["stamp"]}, {"latency", 3.0}});
-  discovery.tell(list(6, false, {target("s-a", "north", "terminating")}));
-  until("a drain", [&] { return !proxy->holds("s-a"); });
-  EXPECT_TRUE(proxy->holds("s-b"));
-  EXPECT_NE(discovery.asked.at(0).find("watch=1&from=5"), std::string::npos);
+  auto proxy = register_proxy(0);
+  wait_until("a table", [&] { return proxy->has_endpoint("s-a") && proxy->has_endpoint("s-b"); });
+  EXPECT_TRUE(proxy->received("push").back().contains("stamp"));
+  proxy->send(
+      {{"t", "ack"}, {"node", 0}, {"nonce", proxy->received("push").back()["stamp"]}, {"latency", 3.0}});
+  discovery.publish(endpoint_list(6, false, {endpoint_entry("s-a", "north", "terminating")}));
+  wait_until("a drain", [&] { return !proxy->has_endpoint("s-a"); });
+  EXPECT_TRUE(proxy->has_endpoint("s-b"));
+  EXPECT_NE(discovery.request_targets.at(0).find("watch=1&from=5"), std::string::npos);
 #ifdef NDEBUG
-  EXPECT_LT(child->resident_kib(), 24 * 1024) << "days give 32 MB";
+  EXPECT_LT(child->resident_kib(), 24 * 1024) << "the memory limit in the platform's days is 32 MB";
 #endif
   EXPECT_EQ(child->stop(5000), 0);
 }
 
-// Four hundred strangers connect under a limit of 256 descriptors: silent, speaking HTTP, stopping in the
-// middle or sending without end. Proxies before and after them are served.
-TEST_F(PlatformProcess, HundredsOfStrangersAreRejectedAndProxiesAreServedMeanwhile) {
+// 400 unknown peers connect under a limit of 256 descriptors: silent, speaking HTTP, stopping in the middle
+// of a message or sending a message without end. Proxies that connect before and after them are served.
+TEST_F(PlatformProcess, ProxiesAreServedWhileHundredsOfUnknownPeersAreRejected) {
   start_and_wait();
-  auto early = join(0);
-  until("a table", [&] { return early->holds("s-a"); });
-  std::vector<std::unique_ptr<Peer>> strangers;
+  auto early = register_proxy(0);
+  wait_until("a table", [&] { return early->has_endpoint("s-a"); });
+  std::vector<std::unique_ptr<Peer>> unknown_peers;
   for (int k = 0; k < 400; ++k) {
-    strangers.push_back(std::make_unique<Peer>(reactor, listen));
-    if (k % 4 == 1) strangers.back()->connection->send("GET / HTTP/1.1\r\nhost: x\r\n\r\n");
-    if (k % 4 == 2) strangers.back()->connection->send("{\"t\":\"hel");
-    if (k % 4 == 3) strangers.back()->connection->send("{" + std::string(200000, ' '));
+    unknown_peers.push_back(std::make_unique<Peer>(reactor, listen));
+    if (k % 4 == 1) unknown_peers.back()->connection->send("GET / HTTP/1.1\r\nhost: x\r\n\r\n");
+    if (k % 4 == 2) unknown_peers.back()->connection->send("{\"t\":\"hel");
+    if (k % 4 == 3) unknown_peers.back()->connection->send("{" + std::string(200000, ' '));
   }
-  auto late = join(1);
-  until("a table for who comes after them", [&] { return late->holds("s-a"); });
-  until(
-      "an end of each stranger",
+  auto late = register_proxy(1);
+  wait_until("a table for the proxy that connects after them", [&] { return late->has_endpoint("s-a"); });
+  wait_until(
+      "the rejection of each unknown peer",
       [&] {
-        return std::all_of(strangers.begin(), strangers.end(),
-                           [](auto& s) { return s->over || !s->told("error").empty(); });
+        return std::all_of(unknown_peers.begin(), unknown_peers.end(),
+                           [](auto& peer) { return peer->closed || !peer->received("error").empty(); });
       },
       3500);
-  EXPECT_FALSE(early->over);
-  EXPECT_FALSE(late->over);
+  EXPECT_FALSE(early->closed);
+  EXPECT_FALSE(late->closed);
 }
 
-// SIGHUP comes with a configuration that names another discovery, then with one that can't be read. The
-// first moves the watch; the second is logged and changes nothing.
-TEST_F(PlatformProcess, ANewConfigurationMovesTheWatchAndABadOneChangesNothing) {
-  Discovery other(reactor);
-  auto proxy = start_and_serve_one();
-  move_to(other);
-  until("a watch at the new address", [&] { return !other.watches.empty(); });
+// SIGHUP is sent with a configuration that names another discovery address, then with one that cannot be
+// parsed. The first moves the watch; the second is logged and changes nothing.
+TEST_F(PlatformProcess, NewConfigurationMovesTheWatchAndAnInvalidOneChangesNothing) {
+  DiscoveryServer new_discovery(reactor);
+  auto proxy = start_with_one_proxy();
+  move_discovery(new_discovery);
+  wait_until("a watch at the new address", [&] { return !new_discovery.watches.empty(); });
   write_configuration("{\"name\":");
   child->signal(SIGHUP);
-  until("a refusal in the log", [&] {
-    return base::read_file(folder + ".log").value_or("").find("configuration_rejected") != std::string::npos;
+  wait_until("the rejected configuration in the log", [&] {
+    return base::read_file(path_prefix + ".log").value_or("").find("configuration_rejected") !=
+           std::string::npos;
   });
-  other.tell(list(6, false, {target("s-b", "north", "terminating")}));
-  until("a drain by the new address", [&] { return !proxy->holds("s-b"); });
-  EXPECT_FALSE(proxy->over);
+  new_discovery.publish(endpoint_list(6, false, {endpoint_entry("s-b", "north", "terminating")}));
+  wait_until("a drain from the new address", [&] { return !proxy->has_endpoint("s-b"); });
+  EXPECT_FALSE(proxy->closed);
   EXPECT_EQ(child->stop(5000), 0);
 }
 
-// ---- Where two events cross, each forced by a barrier ----
+// ---- Concurrent events, each ordered by a barrier ----
 
-// The new discovery answers 503 with a body that looks like a list. The body must not be applied, the
-// former watch must go on, and the new address must be tried again.
-TEST_F(PlatformProcess, AWatchThatIsRefusedAfterAMoveLeavesTheFormerOneAtWork) {
-  Discovery other(reactor);
-  other.refusals = 2;
-  auto proxy = start_and_serve_one();
-  move_to(other);
-  until("a refusal", [&] { return other.refusals == 1; });
-  discovery.tell(list(6, false, {target("s-a", "north", "terminating")}));
-  until("the drain by the former watch", [&] { return !proxy->holds("s-a"); });
-  EXPECT_TRUE(proxy->holds("s-b")) << "the body of a refusal is no list";
-  until("the new address asked again while the former one lives", [&] { return !other.watches.empty(); });
-  EXPECT_NE(other.asked.back().find("from=6"), std::string::npos);
+// The new discovery responds 503 with a body that looks like a list. The body must not be applied, the older
+// watch must stay active, and the new address must be tried again.
+TEST_F(PlatformProcess, WatchRefusedAfterAMoveLeavesTheOlderOneActive) {
+  DiscoveryServer new_discovery(reactor);
+  new_discovery.remaining_refusals = 2;
+  auto proxy = start_with_one_proxy();
+  move_discovery(new_discovery);
+  wait_until("a refused watch", [&] { return new_discovery.remaining_refusals == 1; });
+  discovery.publish(endpoint_list(6, false, {endpoint_entry("s-a", "north", "terminating")}));
+  wait_until("the drain from the older watch", [&] { return !proxy->has_endpoint("s-a"); });
+  EXPECT_TRUE(proxy->has_endpoint("s-b")) << "the body of a 503 response is not applied";
+  wait_until("a retry at the new address while the older watch is open",
+             [&] { return !new_discovery.watches.empty(); });
+  EXPECT_NE(new_discovery.request_targets.back().find("from=6"), std::string::npos);
 }
 
-// At a restart the former process still holds the listening address for a moment. The new one waits instead
+// At a restart the previous process still uses the listen address for a moment. The new process waits instead
 // of failing.
-TEST_F(PlatformProcess, AnAddressThatTheProcessBeforeStillHoldsIsWaitedFor) {
+TEST_F(PlatformProcess, AddressInUseByThePreviousProcessIsRetried) {
   auto former = std::make_unique<net::Listener>(reactor, listen, [](auto) {});
   start();
-  until("that it waits", [&] {
-    return base::read_file(folder + ".log").value_or("").find("address_in_use") != std::string::npos;
+  wait_until("the wait for the address", [&] {
+    return base::read_file(path_prefix + ".log").value_or("").find("address_in_use") != std::string::npos;
   });
   EXPECT_FALSE(child->ended());
   former.reset();
-  until("alive", [&] { return alive(); });
+  wait_until("alive", [&] { return alive(); });
 }
 
-// Standard error is a full pipe that nobody reads. A write that blocked would stop the assigner.
-TEST_F(PlatformProcess, NothingWaitsOnALogThatNobodyReads) {
-  std::string pipe = folder + ".pipe";
+// Standard error is a full pipe without a reader. A blocking write would stop the assigner.
+TEST_F(PlatformProcess, FullLogPipeDoesNotBlockTheProcess) {
+  std::string pipe = path_prefix + ".pipe";
   ::unlink(pipe.c_str());
   ASSERT_EQ(::mkfifo(pipe.c_str(), 0600), 0);
   net::Fd reader(::open(pipe.c_str(), O_RDONLY | O_NONBLOCK));
@@ -244,82 +252,87 @@
   while (::write(writer.get(), "x", 1) == 1) {
   }
   start(pipe);
-  until("alive", [&] { return alive(); });
-  auto proxy = join(0);
-  until("a table", [&] { return proxy->holds("s-a"); });
+  wait_until("alive", [&] { return alive(); });
+  auto proxy = register_proxy(0);
+  wait_until("a table", [&] { return proxy->has_endpoint("s-a"); });
   child->signal(SIGTERM);
-  until(
-      "an end before SIGKILL may follow", [&] { return child->ended(); }, 700);
+  wait_until(
+      "the end of the process before SIGKILL would follow", [&] { return child->ended(); }, 700);
   EXPECT_EQ(child->stop(0), 0);
 }
 
-// SIGTERM comes while discovery has not answered, while an object is half received, and while a proxy does
-// not read. Each time the process must end before SIGKILL follows.
-TEST_F(PlatformProcess, SigtermEndsItInOrderWhateverIsHalfDone) {
+// SIGTERM arrives while discovery has not responded, while an object is partly received, and while a proxy
+// does not read. In each case the process must end before SIGKILL would follow.
+TEST_F(PlatformProcess, SigtermStopsTheProcessDuringUnfinishedOperations) {
   for (int k = 0; k < 3; ++k) {
-    discovery.holds = k == 0;
-    discovery.watches.clear(), discovery.asked.clear();
+    discovery.delay_responses = k == 0;
+    discovery.watches.clear(), discovery.request_targets.clear();
     start();
-    until("its watch", [&] { return !discovery.watches.empty(); });
+    wait_until("the watch", [&] { return !discovery.watches.empty(); });
     std::unique_ptr<Peer> proxy;
-    if (k == 1) discovery.watches.back().stream(list(6, true, {}).dump().substr(0, 20));  // a list in half
+    if (k == 1)
+      discovery.watches.back().stream(
+          endpoint_list(6, true, {}).dump().substr(0, 20));  // part of a list object
     if (k == 2) {
-      until("alive", [&] { return alive(); });
-      proxy = join(0);
-      proxy->connection->pause(true);  // a message that is not read
-      discovery.tell(list(6, false, {target("s-a", "north", "terminating")}));
+      wait_until("alive", [&] { return alive(); });
+      proxy = register_proxy(0);
+      proxy->connection->pause(true);  // the proxy does not read
+      discovery.publish(endpoint_list(6, false, {endpoint_entry("s-a", "north", "terminating")}));
     }
     child->signal(SIGTERM);
-    until(
-        "an end", [&] { return child->ended(); }, 700);
+    wait_until(
+        "the end of the process", [&] { return child->ended(); }, 700);
     EXPECT_EQ(child->stop(0), 0) << k;
   }
 }
 
-// The process was stopped, and wakes to 600 strangers that came after a proxy. The proxy is the oldest and
-// would make room first, but its registration waits in the kernel and must be read before that.
-TEST_F(PlatformProcess, ARegistrationAmongHundredsOfStrangersInOneTurnIsRead) {
+// The process is stopped, and resumes with 600 connections of unknown peers that were opened after that of a
+// proxy. The proxy's connection is the oldest and would be evicted first, but its registration waits in the
+// kernel and must be read before that.
+TEST_F(PlatformProcess, RegistrationAmongHundredsOfConnectionsInOneIterationIsRead) {
   start_and_wait();
   child->signal(SIGSTOP);
-  std::vector<std::unique_ptr<Peer>> strangers;
-  auto first = join(0);  // the oldest of all, and its registration waits in the kernel
-  auto gone = join(1);
-  until("that they are there", [&] { return first->connected && gone->connected; });
-  gone->connection->reset();  // between its connect and the first read
-  for (int k = 0; k < 600; ++k) strangers.push_back(std::make_unique<Peer>(reactor, listen));
-  until("that all wait", [&] {
-    return std::all_of(strangers.begin(), strangers.end(), [](auto& s) { return s->connected; });
+  std::vector<std::unique_ptr<Peer>> unknown_peers;
+  auto first = register_proxy(0);  // the oldest connection; its registration waits in the kernel
+  auto reset_proxy = register_proxy(1);
+  wait_until("both connections", [&] { return first->connected && reset_proxy->connected; });
+  reset_proxy->connection->reset();  // after its connection, before the assigner reads from it
+  for (int k = 0; k < 600; ++k) unknown_peers.push_back(std::make_unique<Peer>(reactor, listen));
+  wait_until("all connections", [&] {
+    return std::all_of(unknown_peers.begin(), unknown_peers.end(),
+                       [](auto& peer) { return peer->connected; });
   });
   child->signal(SIGCONT);
-  until("a table", [&] { return first->holds("s-a"); });
-  EXPECT_FALSE(first->over);
-  auto again = join(1);
-  until("a table for who was reset", [&] { return again->holds("s-a"); });
+  wait_until("a table", [&] { return first->has_endpoint("s-a"); });
+  EXPECT_FALSE(first->closed);
+  auto reconnected = register_proxy(1);
+  wait_until("a table for the proxy whose connection was reset",
+             [&] { return reconnected->has_endpoint("s-a"); });
 }
 
-// A drain and two SIGHUPs with new settings come in one turn of the loop. The new controller must not lose
-// the drain.
-TEST_F(PlatformProcess, OtherSettingsAndADrainInOneTurn) {
-  auto proxy = start_and_serve_one();
+// A drain and two SIGHUPs with new settings arrive in one iteration of the event loop. The new controller
+// must not lose the drain.
+TEST_F(PlatformProcess, NewSettingsAndADrainInOneIterationKeepTheDrain) {
+  auto proxy = start_with_one_proxy();
   child->signal(SIGSTOP);
-  discovery.tell(list(6, false, {target("s-a", "north", "terminating")}));
-  configured["settings"]["guarantees"]["warm_up"] = 9000.0;
-  write_configuration(configured.dump());
+  discovery.publish(endpoint_list(6, false, {endpoint_entry("s-a", "north", "terminating")}));
+  config["settings"]["guarantees"]["warm_up"] = 9000.0;
+  write_configuration(config.dump());
   child->signal(SIGHUP);
   child->signal(SIGHUP);
   child->signal(SIGCONT);
-  until("the drain", [&] { return !proxy->holds("s-a"); });
-  EXPECT_TRUE(proxy->holds("s-b"));
-  EXPECT_FALSE(proxy->over);
+  wait_until("the drain", [&] { return !proxy->has_endpoint("s-a"); });
+  EXPECT_TRUE(proxy->has_endpoint("s-b"));
+  EXPECT_FALSE(proxy->closed);
 }
 
-// A setting that is needed is missing. The process names it and ends with the exit code for unusable input.
-TEST_F(PlatformProcess, WithoutAValidConfigurationItSaysWhyAndEnds) {
-  configured["settings"]["family_info"].erase("agents");
+// A required setting is missing. The process names it and exits with the code for unusable input.
+TEST_F(PlatformProcess, InvalidConfigurationIsReportedAndEndsTheProcess) {
+  config["settings"]["family_info"].erase("agents");
   start();
-  until("an end", [&] { return child->ended(); });
+  wait_until("the end of the process", [&] { return child->ended(); });
   EXPECT_EQ(child->stop(0), 2);
-  EXPECT_NE(base::read_file(folder + ".log").value_or("").find("family_info.agents is missing"),
+  EXPECT_NE(base::read_file(path_prefix + ".log").value_or("").find("family_info.agents is missing"),
             std::string::npos);
 }
 
--- a/tests/platform/session_table_test.cpp
+++ b/tests/platform/session_table_test.cpp
@@ -1,4 +1,5 @@
-// Who makes room where descriptors run short, and who is registered.
+// Tests which sessions are evicted when descriptors run short, and the registrations of proxies and
+// collectors.
 #include "platform/session_table.h"
 
 #include <gtest/gtest.h>
@@ -6,20 +7,20 @@
 namespace beamshunt::platform {
 namespace {
 
-constexpr std::size_t kDescriptorLimit = 128;  // of which 32 are reserved, and 16 are for health checks
+constexpr std::size_t kDescriptorLimit = 128;  // 32 are reserved, 16 are for health checks
 constexpr std::uint64_t kMaxSessions = 80;
 
 ProxyRegistration proxy(std::uint32_t id) { return {.proxy = ProxyId{id}}; }
 
-TEST(SessionTable, NobodyMakesRoomWhileThereAreDescriptorsEnough) {
+TEST(SessionTable, NoSessionIsEvictedWhileThereAreEnoughDescriptors) {
   SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= kMaxSessions; ++k) table.add(ConnectionId{k}, 0);
   EXPECT_FALSE(table.eviction_candidate());
 }
 
-// Strangers connect by the hundred and say nothing. The oldest goes first, for it had its time; a proxy that
-// is registered stays, however old.
-TEST(SessionTable, TheOldestUnregisteredSessionMakesRoom) {
+// Hundreds of unknown peers connect and send nothing. The oldest is evicted first, because it has had the
+// most time to register. A registered proxy stays, regardless of its age.
+TEST(SessionTable, OldestUnregisteredSessionIsEvicted) {
   SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= kMaxSessions + 1; ++k) table.add(ConnectionId{k}, 0);
   table.register_proxy(ConnectionId{1}, proxy(0));
@@ -28,9 +29,9 @@
   EXPECT_FALSE(table.eviction_candidate());
 }
 
-// More proxies come than there are descriptors. One registration more would cost all the endpoint list, so it
-// is rejected, until another's end makes room.
-TEST(SessionTable, NoMoreRegisterThanThereAreDescriptorsFor) {
+// More proxies register than there are descriptors. One more registration would use a descriptor that
+// discovery needs, so it is rejected until another session ends.
+TEST(SessionTable, RegistrationsAreLimitedByTheDescriptors) {
   SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= kMaxSessions + 1; ++k) table.add(ConnectionId{k}, 0);
   for (std::uint64_t k = 1; k <= kMaxSessions; ++k)
@@ -46,8 +47,8 @@
   EXPECT_FALSE(table.connection_of(ProxyId{7}));
 }
 
-// A locality's collector reconnects again and again, and its broken connections never end by themselves.
-TEST(SessionTable, TheOldestOfTooManyCollectorsIsSurplus) {
+// A locality's collector reconnects repeatedly, and the ends of its broken connections are never detected.
+TEST(SessionTable, OldestCollectorBeyondTheLimitIsSurplus) {
   SessionTable table(kDescriptorLimit);
   for (std::uint64_t k = 1; k <= 4; ++k) {
     table.add(ConnectionId{k}, 0);
--- a/tests/platform/session_test.cpp
+++ b/tests/platform/session_test.cpp
@@ -1,4 +1,4 @@
-// One connection's limits in time and bytes.
+// Tests the time and size limits of one connection.
 #include "platform/session.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace beamshunt::platform {
 namespace {
 
-TEST(Session, HandsOutMessagesWithoutBlankLines) {
+TEST(Session, ReturnsMessagesWithoutBlankLines) {
   Session session(0);
   session.receive("{}\n\n \r\n{\"a\":1}\n{", 0);
   EXPECT_EQ(session.next_message(), "{}");
@@ -15,8 +15,8 @@
   EXPECT_EQ(session.unfinished_bytes(), 1u);
 }
 
-// A stranger connects and says nothing, or never finishes what it says.
-TEST(Session, TheHandshakeIsOverdueAfterASecondUnlessThePeerRegistered) {
+// An unknown peer connects and sends nothing, or never completes its message.
+TEST(Session, HandshakeTimesOutAfterOneSecondUnlessThePeerRegisters) {
   Session stranger(100);
   EXPECT_FALSE(stranger.handshake_timed_out(1099));
   EXPECT_TRUE(stranger.handshake_timed_out(1100));
@@ -25,8 +25,8 @@
   EXPECT_FALSE(collector.handshake_timed_out(5000));
 }
 
-// A peer sends a message byte by byte. The time runs from the message's first byte, not from its last.
-TEST(Session, AMessageIsOverdueThreeSecondsAfterItsFirstByte) {
+// A peer sends a message byte by byte. The timeout starts at the message's first byte, not at its latest one.
+TEST(Session, MessageTimesOutThreeSecondsAfterItsFirstByte) {
   Session session(0);
   session.receive("{}\n{", 1000);
   while (session.next_message()) {
@@ -37,10 +37,10 @@
   EXPECT_TRUE(session.message_timed_out(4000));
   session.receive("}\n", 4000);
   EXPECT_TRUE(session.next_message());
-  EXPECT_FALSE(session.message_timed_out(9000)) << "nothing is unfinished";
+  EXPECT_FALSE(session.message_timed_out(9000)) << "no message is incomplete";
 }
 
-TEST(Session, OnlyARegisteredPeerMaySendLongMessages) {
+TEST(Session, OnlyRegisteredPeersMaySendLongMessages) {
   const std::string message = "{" + std::string(5000, ' ') + "}\n";
   Session stranger(0);
   stranger.receive(message, 0);
@@ -51,7 +51,7 @@
   EXPECT_TRUE(registered.next_message());
 }
 
-TEST(Session, FourMalformedMessagesInARowAreTooMany) {
+TEST(Session, FourConsecutiveMalformedMessagesAreTooMany) {
   Session session(0);
   for (int k = 0; k < 3; ++k) EXPECT_FALSE(session.count_malformed_message());
   session.count_valid_message();
@@ -59,7 +59,7 @@
   EXPECT_TRUE(session.count_malformed_message());
 }
 
-TEST(Session, SentMessagesLeaveTheWindow) {
+TEST(Session, SentMessagesBeforeTheWindowAreNotCounted) {
   Session session(0);
   for (Ms now : {0, 100, 200}) session.count_sent_message(now);
   EXPECT_EQ(session.sent_messages_within(1000, 1000), 3u);
--- a/tests/platform/update_writer_test.cpp
+++ b/tests/platform/update_writer_test.cpp
@@ -1,9 +1,9 @@
-// Actions to the parts of update messages: which updates share a part, and which must not.
+// Tests how actions become parts of update messages: which updates share a part and which must not.
 #include "platform/update_writer.h"
 
 #include <gtest/gtest.h>
 
-#include "platform/rig.h"
+#include "platform/core_harness.h"
 
 namespace beamshunt::platform::test {
 namespace {
@@ -15,47 +15,47 @@
 
 struct UpdateWriterTest : ::testing::Test {
   UpdateWriterTest() {
-    catalog.apply(four().dump(), {{"north", "south"}, {"look", "buy"}}, 0, 0);
+    catalog.apply(four_endpoints().dump(), {{"north", "south"}, {"look", "buy"}}, 0, 0);
     writer.start_controller(2);
     writer.register_proxy(kProxy);
   }
   EndpointId endpoint(const char* uid) const { return catalog.find(uid).value(); }
-  UpdateWriter::Parts take() { return writer.take_messages()[kProxy]; }
+  UpdateWriter::Parts take_parts() { return writer.take_messages()[kProxy]; }
 
   EndpointCatalog catalog;
   UpdateWriter writer{catalog};
 };
 
-TEST_F(UpdateWriterTest, AnAssignedTableIsReplacedWithItsWeightsInOnePart) {
+TEST_F(UpdateWriterTest, AssignedTableIsWrittenWithItsWeightsInOnePart) {
   writer.apply(SetWeight{kTable, endpoint("s-a"), 1.5});
   writer.apply(SetWeight{kTable, endpoint("s-b"), 0.5});
   EXPECT_TRUE(writer.take_messages().empty()) << "no proxy uses the table";
   writer.apply(AssignTable{kLook, kProxy, kTable});
-  auto parts = take();
+  auto parts = take_parts();
   ASSERT_EQ(parts.size(), 1u);
   EXPECT_EQ(parts[0].classes, kLook);
   EXPECT_TRUE(parts[0].replaces_table);
   EXPECT_EQ(parts[0].weights.size(), 2u);
 }
 
-TEST_F(UpdateWriterTest, TheLastWeightOfAnEndpointIsTheOneSent) {
+TEST_F(UpdateWriterTest, LastWeightOfAnEndpointIsWritten) {
   writer.apply(AssignTable{kBoth, kProxy, kTable});
   writer.apply(SetWeight{kTable, endpoint("s-a"), 1});
   writer.apply(SetWeight{kTable, endpoint("s-a"), 2});
-  auto parts = take();
+  auto parts = take_parts();
   ASSERT_EQ(parts.size(), 1u);
   ASSERT_EQ(parts[0].weights.size(), 1u);
   EXPECT_EQ(parts[0].weights[0].weight, 2);
 }
 
-// A proxy applies parts in their order, and a replacement voids the limits before it. A limit that joined the
-// part of an earlier replacement would be lost by the later one.
-TEST_F(UpdateWriterTest, ALimitFollowsTheReplacementThatWouldVoidIt) {
+// A proxy applies parts in order, and a replacement of a table invalidates the limits before it. A limit
+// added to the part of an earlier replacement would be lost with the later replacement.
+TEST_F(UpdateWriterTest, LimitFollowsTheReplacementThatWouldInvalidateIt) {
   writer.apply(AssignTable{kBoth, kProxy, kTable});
   writer.apply(SetAdmissionLimit{kTable, false, kLook, 4, RetryMode::once});
   writer.apply(ClearTable{kTable});
   writer.apply(SetAdmissionLimit{kTable, false, kLook, 5, RetryMode::once});
-  auto parts = take();
+  auto parts = take_parts();
   std::size_t last_replacement = 0;
   std::size_t last_limit = 0;
   for (std::size_t index = 0; index < parts.size(); ++index) {
@@ -67,20 +67,20 @@
   EXPECT_EQ(parts[last_limit].limit->admission_limit, 5);
 }
 
-TEST_F(UpdateWriterTest, ExclusionsAndTheirReversesNameTheEndpoint) {
+TEST_F(UpdateWriterTest, ExclusionsAndReadmissionsNameTheEndpoint) {
   writer.apply(ExcludeEndpoint{endpoint("s-c"), true});
   writer.apply(ExcludeEndpoint{endpoint("s-c"), false});
-  auto parts = take();
+  auto parts = take_parts();
   ASSERT_EQ(parts.size(), 2u);
   EXPECT_EQ(parts[0].excluded, std::vector<std::string>{"s-c"});
   EXPECT_EQ(parts[1].readmitted, std::vector<std::string>{"s-c"});
   EXPECT_EQ(parts[0].classes, 0u);
 }
 
-// The controller names an endpoint that the directory has forgotten. A proxy ends a stream that names one
-// which discovery never listed, so it is left out; the message goes out all the same, for the controller
-// counted it.
-TEST_F(UpdateWriterTest, AnEndpointWithoutAUidIsNeverNamed) {
+// The controller names an endpoint that the catalog has dropped. The update must omit it, because a proxy
+// closes a stream that names an endpoint which discovery never listed. The message is still sent, because the
+// controller has counted it.
+TEST_F(UpdateWriterTest, EndpointWithoutAUidIsNeverNamed) {
   writer.apply(AssignTable{kBoth, kProxy, kTable});
   static_cast<void>(writer.take_messages());
   writer.apply(SetWeight{kTable, EndpointId{12345}, 1});
@@ -89,8 +89,8 @@
   EXPECT_TRUE(messages.at(kProxy).empty());
 }
 
-// A proxy leaves in the middle of a batch: nothing is written to it any more.
-TEST_F(UpdateWriterTest, ARemovedProxysMessageIsDropped) {
+// A proxy disconnects during a batch. Nothing more is written for it.
+TEST_F(UpdateWriterTest, MessageOfARemovedProxyIsDropped) {
   writer.apply(AssignTable{kBoth, kProxy, kTable});
   writer.remove_proxy(kProxy);
   EXPECT_TRUE(writer.take_messages().empty());
