--- a/src/platform/ack_tracker.h
+++ b/src/platform/ack_tracker.h
@@ -20,6 +20,7 @@
 
 namespace beamshunt::platform {
 
+// The nonces in flight on all streams of one assigner.
 class AckTracker {
  public:
   // Classifies an ack by the nonce that it names.
@@ -58,6 +59,7 @@
   // an event reports the ack to the present controller, or the reduced channel usage if the present
   // controller did not send the message.
   AckResult acknowledge(ConnectionId connection, std::uint32_t nonce, Ms now);
+  // Returns true if a nonce is in flight on the stream.
   [[nodiscard]] bool has_unacknowledged(ConnectionId connection) const;
   // Returns the time (ms) at which the stream's oldest nonce was sent if its ack is overdue at `now`, else
   // nothing. `max_update_delay` is the longest time in ms that a message travels.
--- a/src/platform/configuration.h
+++ b/src/platform/configuration.h
@@ -29,6 +29,7 @@
   Detail detail;
 };
 
+// A decoded and validated configuration.
 struct Configuration {
   std::string name;     // name of this assigner; stays the same across restarts
   net::Address listen;  // address to which proxies and collectors connect
--- a/src/platform/core.h
+++ b/src/platform/core.h
@@ -42,6 +42,7 @@
   std::uint64_t liveness_checks = 0;  // nonces sent without updates
 };
 
+// One assigner of the platform, driven by its shell.
 class Core {
  public:
   // Here and below, `now` is in ms of the monotonic clock, and `wall_now` in ms since 1970 at the same
@@ -52,18 +53,20 @@
   Core& operator=(const Core&) = delete;
 
   // ---- Inputs; take_effects() returns their effects after run_once() ----
+  // Adds an unregistered session for a connection that a peer opened.
   void on_connection_opened(ConnectionId id, Ms now) { sessions_.add(id, now); }
-  // Ignores bytes of a connection that has ended.
+  // Handles the messages in the received bytes. Bytes of a connection that has ended are ignored.
   void on_bytes(ConnectionId id, std::string_view bytes, Ms now);
   // Handles a connection that the peer or the network closed. `reason` is logged.
   void on_connection_closed(ConnectionId id, const std::string& reason) { end_session(id, reason); }
-  // Both ignore input of a watch that has ended.
+  // Handle received bytes and the end of a watch. Input of a watch that has ended is ignored.
   void on_watch_bytes(WatchSet::Id watch, std::string_view bytes, Ms now, double wall_now) {
     discovery_.on_watch_bytes(watch, bytes, now, wall_now);
   }
   void on_watch_ended(WatchSet::Id watch, const std::string& reason, Ms now) {
     discovery_.on_watch_ended(watch, reason, now);
   }
+  // Handle the body of a successful response to FetchEndpointList, and a failed request.
   void on_fetched(std::string_view json, Ms now, double wall_now) {
     discovery_.on_fetched(json, now, wall_now);
   }
@@ -93,12 +96,15 @@
   void run_once(Ms now);
   // Returns the latest time (ms) for the next call of run_once(); 0 means at once.
   [[nodiscard]] Ms next_due() const;
+  // Returns the effects since the last call, in the order in which the shell must execute them.
   [[nodiscard]] std::vector<Effect> take_effects() { return std::exchange(outputs_.effects, {}); }
 
   // ---- State ----
   [[nodiscard]] const Counters& counters() const { return counters_; }
   [[nodiscard]] const Configuration& configuration() const { return configuration_; }
+  // Returns the number of open sessions, registered or not.
   [[nodiscard]] std::size_t connections() const { return sessions_.sessions().size(); }
+  // Returns the number of registered proxies.
   [[nodiscard]] std::size_t proxies() const { return sessions_.proxies().size(); }
 
  private:
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -16,6 +16,7 @@
 
 namespace beamshunt::platform {
 
+// The connection between discovery, the endpoint catalog and the controller.
 class DiscoveryClient {
  public:
   // Both arguments must outlive the client. `configuration` may be replaced in place; on_reconfigured() must
@@ -23,6 +24,7 @@
   DiscoveryClient(const Configuration& configuration, Outputs& outputs)
       : configuration_(configuration), outputs_(outputs), watches_(configuration.seed) {}
 
+  // Returns the endpoints known from discovery and the cached list.
   [[nodiscard]] const EndpointCatalog& catalog() const { return catalog_; }
 
   // Applies the configuration's cached list, if there is one. An invalid list is logged and ignored. Here and
@@ -32,14 +34,23 @@
   // ---- Requests of the controller ----
   // Passes the list as it is known now to a new controller.
   void start_controller();
+  // Opens a watch unless one is open.
   void subscribe();
+  // Closes all watches and cancels a pending retry.
   void unsubscribe();
+  // Requests the complete list once.
   void fetch();
 
   // ---- Results from the shell ----
+  // Applies the objects that `bytes` completes. Once an object of the watch was applied, older watches are
+  // closed.
   void on_watch_bytes(WatchSet::Id watch, std::string_view bytes, Ms now, double wall_now);
+  // Reports the list as lost if no watch is open any more. If only an older watch is left, schedules a retry
+  // of the newest one. `reason` is logged.
   void on_watch_ended(WatchSet::Id watch, const std::string& reason, Ms now);
+  // Applies the list object in the response to a fetch.
   void on_fetched(std::string_view json, Ms now, double wall_now);
+  // Reports the list as lost if no watch is open. `reason` is logged.
   void on_fetch_failed(const std::string& reason);
 
   // Adapts to a configuration that was replaced. Opens a watch at once if the address or the localities
--- a/src/platform/effects.h
+++ b/src/platform/effects.h
@@ -23,10 +23,12 @@
 // Identifies a health check. Ids are never reused.
 enum class HealthCheckId : std::uint64_t {};
 
+// Sends bytes to a peer.
 struct SendBytes {
   ConnectionId connection{};
   std::shared_ptr<const std::string> bytes;
 };
+// Closes the connection to a peer.
 struct CloseConnection {
   ConnectionId connection{};
   bool immediately =
@@ -39,6 +41,7 @@
   net::Address discovery{};
   std::uint64_t from_version = 0;
 };
+// Cancels a watch. The shell does not report its end.
 struct CloseWatch {
   WatchSet::Id watch = 0;
 };
@@ -53,6 +56,7 @@
   net::Address address{};
   bool request_load_report = false;  // true: requests the page that contains the load report
 };
+// Writes a line to the log.
 struct LogLine {
   log::Level level = log::Level::info;
   std::string event;
--- a/src/platform/endpoint_catalog.h
+++ b/src/platform/endpoint_catalog.h
@@ -32,9 +32,11 @@
 struct ListEntryError {
   std::string uid;  // uid of the entry; empty if the entry has no valid uid
   std::string field;
+  // Returns the error as log text.
   [[nodiscard]] std::string message() const;
 };
 
+// The endpoints that discovery lists or has listed recently.
 class EndpointCatalog {
  public:
   // The effect of one list object.
--- a/src/platform/endpoint_view_log.h
+++ b/src/platform/endpoint_view_log.h
@@ -15,12 +15,15 @@
 
 namespace beamshunt::platform {
 
+// The periodic `endpoint_view` log line and the statistics that it reports.
 class EndpointViewLog {
  public:
   // `outputs` must outlive this object.
   explicit EndpointViewLog(Outputs& outputs) : outputs_(outputs) {}
 
+  // Adds a report on an endpoint to its statistics.
   void record_report(EndpointId endpoint, const EndpointReportMessage& report);
+  // Stores the outcome of a health check and the utilization from its load report.
   void record_health_check(EndpointId endpoint, AttemptOutcome outcome, const LoadReport& load);
 
   // Writes the log line if it is due at `now` (ms), and resets the statistics of the reports.
--- a/src/platform/health_check_client.h
+++ b/src/platform/health_check_client.h
@@ -14,6 +14,7 @@
 
 namespace beamshunt::platform {
 
+// The health checks of one assigner.
 class HealthCheckClient {
  public:
   // All arguments must outlive the client. `view_log` is null if endpoints are not logged.
--- a/src/platform/session.h
+++ b/src/platform/session.h
@@ -13,6 +13,7 @@
 
 namespace beamshunt::platform {
 
+// One peer's session, from the opening of the connection to its end.
 class Session {
  public:
   // The kind of the peer. A peer registers once, with its first message other than a health check request.
@@ -24,6 +25,7 @@
   // ---- Handshake ----
   [[nodiscard]] Role role() const { return role_; }
   [[nodiscard]] bool is_registered() const { return role_ != Role::handshake_pending; }
+  // Register the peer. From then on the size limit of registered peers applies to its messages.
   void register_collector();
   void register_proxy(const ProxyRegistration& registration);
   // Returns the registration of a proxy as received, except that mark_tables_assigned() may have changed
@@ -33,16 +35,21 @@
   void mark_tables_assigned() { registration_.only_static_tables = false; }
 
   // ---- Bytes ----
+  // Appends bytes that were received at `now`.
   void receive(std::string_view bytes, Ms now);
   // Returns the next complete message, skipping blank lines, or nothing if there is none. Throws
   // ProtocolError of scope `connection` if the received bytes cannot become a message.
   [[nodiscard]] std::optional<std::string> next_message();
+  // Returns the size of the incomplete message in bytes.
   [[nodiscard]] std::size_t unfinished_bytes() const { return reader_.unfinished_bytes(); }
+  // Returns when bytes were last received, or when the connection was opened.
   [[nodiscard]] Ms last_received() const { return last_received_; }
 
   // ---- Limits and timeouts ----
+  // Resets the count of consecutive malformed messages.
   void count_valid_message() { consecutive_malformed_ = 0; }
-  // Returns true if the limit of consecutive malformed messages is reached and the connection must be closed.
+  // Counts a malformed message. Returns true if the limit of consecutive malformed messages is reached and
+  // the connection must be closed.
   [[nodiscard]] bool count_malformed_message();
   // Returns true if the peer has not registered in time.
   [[nodiscard]] bool handshake_timed_out(Ms now) const;
--- a/src/platform/session_table.cpp
+++ b/src/platform/session_table.cpp
@@ -13,7 +13,7 @@
 // Upper bound for the number of concurrent health checks: more checks would only cause bursts on a single
 // core.
 constexpr std::size_t kMaxHealthChecks = 64;
-// One of this many descriptors may be used for health checks: most are needed for proxies.
+// Ratio of all descriptors to those that health checks may use: most descriptors are needed for proxies.
 constexpr std::size_t kDescriptorsPerHealthCheck = 16;
 // Maximum number of collectors per locality: one, plus sessions of broken connections that were not detected.
 constexpr std::size_t kMaxCollectorsPerLocality = 4;
--- a/src/platform/session_table.h
+++ b/src/platform/session_table.h
@@ -18,6 +18,7 @@
 // uses one descriptor.
 [[nodiscard]] std::size_t max_concurrent_health_checks(std::size_t descriptor_limit);
 
+// The open sessions of one assigner.
 class SessionTable {
  public:
   using Sessions = std::map<ConnectionId, Session>;
@@ -39,8 +40,8 @@
   // are enough descriptors or if all sessions are registered.
   [[nodiscard]] std::optional<ConnectionId> eviction_candidate();
 
-  // Both register an open session. They throw ProtocolError of scope `connection` if no descriptors are left
-  // for another registered peer; the session is then unchanged.
+  // Register an open session as that of a proxy or a collector. Throw ProtocolError of scope `connection` if
+  // no descriptors are left for another registered peer; the session is then unchanged.
   void register_proxy(ConnectionId id, const ProxyRegistration& registration);
   void register_collector(ConnectionId id, Locality locality);
 
@@ -51,9 +52,10 @@
   // the connection; the limit removes such sessions.
   [[nodiscard]] std::optional<ConnectionId> surplus_collector(Locality locality);
 
+  // Returns all open sessions by connection.
   [[nodiscard]] Sessions& sessions() { return sessions_; }
   [[nodiscard]] const Sessions& sessions() const { return sessions_; }
-  // Registered proxies, in ascending order of their ids.
+  // Returns the connections of registered proxies, in ascending order of proxy ids.
   [[nodiscard]] const std::map<ProxyId, ConnectionId>& proxies() const { return proxies_; }
 
  private:
--- a/src/platform/update_writer.h
+++ b/src/platform/update_writer.h
@@ -18,6 +18,7 @@
 
 namespace beamshunt::platform {
 
+// The tables of the present controller and the messages of the current batch.
 class UpdateWriter {
  public:
   using Parts = std::vector<UpdatePart>;
@@ -29,6 +30,7 @@
   // again. `class_count` is the number of request classes, at most 63.
   void start_controller(std::size_t class_count) { tables_ = assignments::AssignmentTables(class_count); }
 
+  // Starts writing updates for the proxy.
   void register_proxy(ProxyId proxy) { tables_.register_proxy(proxy); }
   // Removes the proxy and drops its message of the current batch.
   void remove_proxy(ProxyId proxy);
--- a/src/platform/watch_set.h
+++ b/src/platform/watch_set.h
@@ -22,6 +22,7 @@
   using std::runtime_error::runtime_error;
 };
 
+// The watches of one assigner, of which at most two are open: the active one and the newest.
 class WatchSet {
  public:
   using Id = std::uint64_t;
--- a/tests/platform/ack_tracker_test.cpp
+++ b/tests/platform/ack_tracker_test.cpp
@@ -81,13 +81,13 @@
 // count until they are acknowledged or their stream ends; their sequence numbers have no meaning for the new
 // controller.
 TEST_F(AckTrackerTest, LinesOfAPreviousControllerAreReportedUntilTheyAreReleased) {
-  std::uint32_t former = send(kFirst, kFirstProxy, 0, 4);
+  std::uint32_t previous_nonce = send(kFirst, kFirstProxy, 0, 4);
   send(kSecond, kSecondProxy, 0, 5);
   acks.start_controller();
   acks.carry_over(kFirst);
   acks.carry_over(kSecond);
   EXPECT_EQ(acks.external_lines(), 9);
-  acks.acknowledge(kFirst, former, 100);
+  acks.acknowledge(kFirst, previous_nonce, 100);
   EXPECT_TRUE(events<UpdateAcknowledged>().empty());
   ASSERT_EQ(events<SharedChannelUsage>().size(), 1u);
   EXPECT_EQ(events<SharedChannelUsage>()[0].queued_lines, 5);
--- a/tests/platform/core_test.cpp
+++ b/tests/platform/core_test.cpp
@@ -114,9 +114,9 @@
        {harness.open_connection(), harness.register_collector(), harness.register_proxy(0)}) {
     harness.send_message(id, {{"t", "probe"}});
     harness.run_once();
-    bool responsive = false;
-    for (const json& message : harness.messages(id)) responsive |= message["t"] == "alive";
-    EXPECT_TRUE(responsive);
+    bool answered = false;
+    for (const json& message : harness.messages(id)) answered |= message["t"] == "alive";
+    EXPECT_TRUE(answered);
   }
 }
 
--- a/tests/platform/service_test.cpp
+++ b/tests/platform/service_test.cpp
@@ -102,9 +102,9 @@
   }
   void start_and_wait() {
     start();
-    wait_until("alive", [&] { return alive(); });
+    wait_until("alive", [&] { return is_serving(); });
   }
-  bool alive() {
+  bool is_serving() {
     if (!health_check_peer || health_check_peer->closed) {
       health_check_peer = std::make_unique<Peer>(reactor, listen);
       health_check_peer->send({{"t", "probe"}});
@@ -232,14 +232,14 @@
 // At a restart the previous process still uses the listen address for a moment. The new process waits instead
 // of failing.
 TEST_F(PlatformProcess, AddressInUseByThePreviousProcessIsRetried) {
-  auto former = std::make_unique<net::Listener>(reactor, listen, [](auto) {});
+  auto previous_process = std::make_unique<net::Listener>(reactor, listen, [](auto) {});
   start();
   wait_until("the wait for the address", [&] {
     return base::read_file(path_prefix + ".log").value_or("").find("address_in_use") != std::string::npos;
   });
   EXPECT_FALSE(child->ended());
-  former.reset();
-  wait_until("alive", [&] { return alive(); });
+  previous_process.reset();
+  wait_until("alive", [&] { return is_serving(); });
 }
 
 // Standard error is a full pipe without a reader. A blocking write would stop the assigner.
@@ -252,7 +252,7 @@
   while (::write(writer.get(), "x", 1) == 1) {
   }
   start(pipe);
-  wait_until("alive", [&] { return alive(); });
+  wait_until("alive", [&] { return is_serving(); });
   auto proxy = register_proxy(0);
   wait_until("a table", [&] { return proxy->has_endpoint("s-a"); });
   child->signal(SIGTERM);
@@ -274,7 +274,7 @@
       discovery.watches.back().stream(
           endpoint_list(6, true, {}).dump().substr(0, 20));  // part of a list object
     if (k == 2) {
-      wait_until("alive", [&] { return alive(); });
+      wait_until("alive", [&] { return is_serving(); });
       proxy = register_proxy(0);
       proxy->connection->pause(true);  // the proxy does not read
       discovery.publish(endpoint_list(6, false, {endpoint_entry("s-a", "north", "terminating")}));
--- a/tests/platform/session_test.cpp
+++ b/tests/platform/session_test.cpp
@@ -17,9 +17,9 @@
 
 // An unknown peer connects and sends nothing, or never completes its message.
 TEST(Session, HandshakeTimesOutAfterOneSecondUnlessThePeerRegisters) {
-  Session stranger(100);
-  EXPECT_FALSE(stranger.handshake_timed_out(1099));
-  EXPECT_TRUE(stranger.handshake_timed_out(1100));
+  Session unregistered(100);
+  EXPECT_FALSE(unregistered.handshake_timed_out(1099));
+  EXPECT_TRUE(unregistered.handshake_timed_out(1100));
   Session collector(100);
   collector.register_collector();
   EXPECT_FALSE(collector.handshake_timed_out(5000));
@@ -42,9 +42,9 @@
 
 TEST(Session, OnlyRegisteredPeersMaySendLongMessages) {
   const std::string message = "{" + std::string(5000, ' ') + "}\n";
-  Session stranger(0);
-  stranger.receive(message, 0);
-  EXPECT_THROW(static_cast<void>(stranger.next_message()), ProtocolError);
+  Session unregistered(0);
+  unregistered.receive(message, 0);
+  EXPECT_THROW(static_cast<void>(unregistered.next_message()), ProtocolError);
   Session registered(0);
   registered.register_proxy({});
   registered.receive(message, 0);
