--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -1,4 +1,4 @@
-// What a controller has its host do.
+// The actions that Controller::handle returns for its host to carry out.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,15 @@
 
 namespace beamshunt {
 
-struct Subscribe {     // to changes of the endpoint list, from the last known version on
-  bool active = true;  // false: end the subscription
+// Subscribes to changes of the endpoint list, starting at the last known version.
+struct Subscribe {
+  bool active = true;  // false: ends the subscription
 };
-struct FetchEndpoints {};  // the complete list, once
+// Requests the complete endpoint list once.
+struct FetchEndpoints {};
 struct SetTimer {
   Time deadline{};
-  std::uint64_t token = 0;  // comes back in TimerFired
+  std::uint64_t token = 0;  // value returned in the TimerFired event
 };
 struct SendHealthCheck {
   EndpointId endpoint{};
@@ -29,39 +31,43 @@
 struct SetWeight {
   TableId table{};
   EndpointId endpoint{};
-  double weight = 0;  // relative to the table's other entries; 0 removes the entry
+  double weight = 0;  // weight relative to the other entries of the table; 0 removes the entry
 };
 struct ClearTable {
   TableId table{};
 };
-struct AssignTable {  // the proxy uses this table for these classes
+// Makes the proxy use this table for these classes.
+struct AssignTable {
   ClassMask classes = 0;
   ProxyId proxy{};
   TableId table{};
 };
-struct ExcludeEndpoint {  // no proxy may use the endpoint, whatever its tables hold
+// Forbids all proxies to use the endpoint, regardless of the weights in their tables.
+struct ExcludeEndpoint {
   EndpointId endpoint{};
-  bool excluded = true;  // false: lifts the exclusion
+  bool excluded = true;  // false: ends the exclusion
 };
 struct SetAdmissionLimit {
   TableId table{};
   bool all_tables = false;
   ClassMask classes = 0;
-  double limit = 0;  // a share or requests a second at each proxy, by Settings::admission_limit_kind
+  double limit = 0;  // limit at each proxy in the unit of Settings::admission_limit_kind
   RetryMode retry_mode = RetryMode::never;
 };
-struct AckRequest {  // ends the updates of a reply: each proxy that got one acknowledges it
+// Ends the updates of one batch. Each proxy that received an update of the batch acknowledges this request.
+struct AckRequest {
   std::uint32_t sequence_number = 0;
-  bool all_proxies = false;  // also those that got none
+  bool all_proxies = false;  // true: proxies without an update in the batch acknowledge too
 };
-struct LogMessage {  // the text is kept in flight records
+// A message for the host's log. Flight records store the text, and replay compares it.
+struct LogMessage {
   std::string text;
 };
 struct InvariantViolated {
   std::string text;
 };
 
-// The order is part of the flight record's format.
+// The order of the alternatives is part of the flight record format.
 using Action =
     std::variant<Subscribe, FetchEndpoints, SetTimer, SendHealthCheck, SendPeerMessage, SetWeight, ClearTable,
                  AssignTable, ExcludeEndpoint, SetAdmissionLimit, AckRequest, LogMessage, InvariantViolated>;
--- a/src/policy/admission_control.cpp
+++ b/src/policy/admission_control.cpp
@@ -9,22 +9,23 @@
 namespace beamshunt {
 namespace {
 
-// Part of the bottleneck's demand that a cut takes away (the paper's alpha).
-constexpr double kAlpha = 0.1;
-// Growth of a rate that is not cut, each step (the paper's beta).
-constexpr double kBeta = 0.05;
-// Further growth where all of the fleet's headroom is free: recovery should not take longer than the
-// overload.
-constexpr double kGrowthByHeadroom = 0.3;
-// A rate grows only while it is under this multiple of its class's throughput; beyond, it binds nobody.
+// Fraction of the bottleneck's demand that a cut removes (alpha in the paper).
+constexpr double kCutFraction = 0.1;
+// Growth in one step of a rate that is not cut, as a fraction of the rate (beta in the paper).
+constexpr double kGrowthFraction = 0.05;
+// Additional growth per step for a headroom of 1, so that recovery takes no longer than the overload.
+constexpr double kHeadroomGrowth = 0.3;
+// Ratio of rate to throughput of a class at which the rate limits no proxy any more and the class becomes
+// unlimited.
 constexpr double kMaxRateOverThroughput = 2;
-// Report periods in a row above the threshold before a cut: a shorter pause is not overload.
+// Consecutive report periods above the threshold before a cut; a shorter pause is not an overload.
 constexpr int kPeriodsBeforeCut = 3;
-// Headroom (part of capacity) from which on the fleet needs better weights, not cuts.
+// Headroom (fraction of capacity) at which the fleet needs better weights and no cuts.
 constexpr double kMinHeadroom = 0.15;
-// Least successful part of attempts that a cut reckons with: an endpoint that fails fast fails often.
-constexpr double kMinSuccessShareInCut = 0.5;
-// The rate of a class that was never cut.
+// Lower bound for the ratio of successful attempts in a cut, because an endpoint that fails fast has many
+// failures.
+constexpr double kMinSuccessRatioInCut = 0.5;
+// Rate of a class that is not limited.
 constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
 }  // namespace
@@ -39,25 +40,27 @@
                                                                               const LoadEstimator& estimator,
                                                                               Time now) const {
   const Endpoint* slowest = nullptr;
-  double most_overload = 0;  // slowdown over threshold
+  double max_overload = 0;  // ratio of slowdown to threshold
   for (const auto& [id, endpoint] : endpoints) {
-    if (!estimator.is_current(endpoint, now) || is_ejected(endpoint, endpoint.listed.locality)) continue;
+    if (!estimator.has_current_load(endpoint, now) || is_ejected(endpoint, endpoint.listed.locality))
+      continue;
     double overload = LoadEstimator::slowdown(endpoint) / estimator.threshold(endpoint);
-    if (slowest != nullptr && !(overload > most_overload)) continue;
+    if (slowest != nullptr && !(overload > max_overload)) continue;
     slowest = &endpoint;
-    most_overload = overload;
+    max_overload = overload;
   }
   if (slowest == nullptr) return std::nullopt;
   return Bottleneck{.endpoint = slowest, .demand = demand_at(*slowest, demand)};
 }
 
-// The endpoint's load, split into classes by what the localities that send there admit.
+// Splits the endpoint's load into classes in proportion to the admitted demand of the localities that send to
+// it.
 std::vector<double> AdmissionControl::demand_at(const Endpoint& endpoint, const Demand& demand) const {
   std::vector<double> by_class(settings_.classes.size(), 0);
-  double attempts = endpoint.all_paths().attempts();
+  double attempts = endpoint.path_totals().attempts();
   if (attempts <= 0) return by_class;
   for (const auto& [locality, path] : endpoint.paths) {
-    double admitted = demand.of_locality(index_of(locality));
+    double admitted = demand.locality_rate(index_of(locality));
     if (admitted <= 0) continue;
     for (std::size_t c = 0; c < by_class.size(); ++c) {
       by_class[c] += endpoint.attempt_rate * path.attempts() / attempts * demand.at(locality, c) / admitted;
@@ -72,36 +75,36 @@
   if (!bottleneck) return;
   FleetAverages averages =
       estimator.averages(endpoints, now)
-          .value_or(FleetAverages{.fail_share = 0, .slowdown = 1, .threshold = 1, .headroom = 0});
+          .value_or(FleetAverages{.failure_ratio = 0, .slowdown = 1, .threshold = 1, .headroom = 0});
 
-  // Capacity is what succeeded: attempts that fail there are demand, not proof of capacity.
-  double success_share = std::max(kMinSuccessShareInCut, 1 - averages.fail_share);
+  // Only successful attempts prove capacity; failed attempts are demand.
+  double success_ratio = std::max(kMinSuccessRatioInCut, 1 - averages.failure_ratio);
   double capacity = 0;
-  for (double rate : bottleneck->demand) capacity += (1 - kAlpha) * rate * success_share;
-  std::vector<double> fair = max_min_shares(capacity, bottleneck->demand);
+  for (double rate : bottleneck->demand) capacity += (1 - kCutFraction) * rate * success_ratio;
+  std::vector<double> fair_shares = max_min_shares(capacity, bottleneck->demand);
 
-  // Endpoints far slower than the rest are drained by their weights. Cuts wait until the fleet is full and
-  // slow as a whole.
+  // The load balancer takes load away from endpoints that are much slower than the others. Cuts start only
+  // when the fleet as a whole has no headroom and is slow.
   bool fleet_overloaded = averages.headroom < kMinHeadroom && averages.slowdown > averages.threshold;
   int overloaded_periods = bottleneck->endpoint->periods_over_threshold;
   bool cut = overloaded_periods >= kPeriodsBeforeCut && fleet_overloaded && now >= next_cut_;
   if (cut) {
-    // A cut shows only in attempts that start after it, which end a latency later: the next one waits so
-    // long.
+    // A cut affects only attempts that start after it and end one latency later, so the next cut waits for at
+    // least that long.
     Duration reports = std::max(settings_.report_period * kPeriodsBeforeCut, estimator.report_interval());
     next_cut_ = now + (settings_.max_update_delay + reports + Duration(bottleneck->endpoint->latency));
   }
   for (std::size_t c = 0; c < rates_.size(); ++c) {
-    double throughput = demand.of_class(c);
+    double throughput = demand.class_rate(c);
     double& rate = rates_[c];
-    if (cut && fair[c] < bottleneck->demand[c]) {
-      rate = std::min(rate, throughput) * fair[c] / bottleneck->demand[c];
+    if (cut && fair_shares[c] < bottleneck->demand[c]) {
+      rate = std::min(rate, throughput) * fair_shares[c] / bottleneck->demand[c];
       continue;
     }
-    bool held = fleet_overloaded && overloaded_periods > 0;
-    if (rate >= kNoLimit || held) continue;
+    bool growth_paused = fleet_overloaded && overloaded_periods > 0;
+    if (rate >= kNoLimit || growth_paused) continue;
     if (rate < kMaxRateOverThroughput * throughput) {
-      rate *= 1 + kBeta + kGrowthByHeadroom * averages.headroom;
+      rate *= 1 + kGrowthFraction + kHeadroomGrowth * averages.headroom;
     } else {
       rate = kNoLimit;
     }
@@ -114,59 +117,60 @@
 
 double AdmissionControl::limit(const ProxyGroupKey& key, const ProxyGroup& group, std::size_t request_class,
                                const Demand& demand, const ProxyMap& proxies, const FleetView& fleet) {
-  double open = unlimited(settings_.admission_limit_kind);
-  if (settings_.admission_limit_kind == AdmissionLimitKind::none) return open;
+  double max_limit = unlimited(settings_.admission_limit_kind);
+  if (settings_.admission_limit_kind == AdmissionLimitKind::none) return max_limit;
   bool local_only = settings_.classes[request_class].local_only;
-  return std::min({open, class_limit(group, request_class, demand, proxies),
+  return std::min({max_limit, class_limit(group, request_class, demand, proxies),
                    warm_up_limit(key.locality, group, local_only, fleet)});
 }
 
-// Max-min within the group, so that a small proxy's unused part serves the large ones.
+// Splits the rate by max-min fairness within the group, so that large proxies can use what small proxies
+// leave unused.
 double AdmissionControl::class_limit(const ProxyGroup& group, std::size_t request_class, const Demand& demand,
                                      const ProxyMap& proxies) const {
   double rate = rates_[request_class];
-  double throughput = demand.of_class(request_class);
+  double throughput = demand.class_rate(request_class);
   if (rate == kNoLimit || throughput <= 0 || group.members.empty()) return kUnlimitedRate;
   if (settings_.admission_limit_kind == AdmissionLimitKind::share) return rate / throughput;
   double group_rate = rate * group.admitted[request_class] / throughput;
   std::vector<double> arrivals;
   arrivals.reserve(group.members.size());
   for (ProxyId id : group.members) arrivals.push_back(proxies.at(id).arrivals[request_class]);
-  double largest = 0;
-  double left_over = group_rate;
+  double max_share = 0;
+  double unused_rate = group_rate;
   for (double share : max_min_shares(group_rate, arrivals)) {
-    largest = std::max(largest, share);
-    left_over -= share;
+    max_share = std::max(max_share, share);
+    unused_rate -= share;
   }
-  return largest + left_over;
+  return max_share + unused_rate;
 }
 
-// The warm-up guarantee (rule 4) where weights can't help: while all endpoints that a table may use are
-// warming up (a local-only class after its locality was lost), its proxies admit the guaranteed part of their
-// capacity. Endpoints come back one by one, so what is back is compared with all that are known, those
-// removed in the last minute included. Without a class's own expected rate the proxy's is split equally over
-// the classes.
+// Keeps the warm-up guarantee (rule 4) where weights cannot: while all endpoints that a table may use are
+// warming up (as for a local-only class after the loss of its locality), its proxies admit only the
+// guaranteed fraction of the capacity. Endpoints return one by one, so the guaranteed capacity is compared
+// with the capacity of all known endpoints, including those removed within the last minute. There is no
+// expected rate for a class, so the expected rate of a proxy is split equally over the classes.
 double AdmissionControl::warm_up_limit(Locality own, const ProxyGroup& group, bool local_only,
                                        const FleetView& fleet) {
-  auto [share, is_new] = warm_shares_.try_emplace({own, local_only}, 1);
+  auto [share, is_new] = warm_up_fractions_.try_emplace({own, local_only}, 1);
   if (is_new) {
-    double warmest = 0;
+    double max_factor = 0;
     double guaranteed = 0;
     double listed = 0;
     for (const auto& [id, endpoint] : fleet.endpoints) {
       if (local_only && endpoint.listed.locality != own) continue;
       double factor = endpoint.available() ? fleet.slow_start.factor(endpoint, fleet.now) : 0;
-      warmest = std::max(warmest, factor);
+      max_factor = std::max(max_factor, factor);
       guaranteed += factor * endpoint.listed.capacity;
       listed += endpoint.listed.capacity;
     }
-    if (guaranteed > 0 && warmest < 1) share->second = guaranteed / listed;
+    if (guaranteed > 0 && max_factor < 1) share->second = guaranteed / listed;
   }
   auto members = static_cast<double>(group.members.size());
   if (share->second >= 1 || members == 0) return kUnlimitedRate;
   if (settings_.admission_limit_kind == AdmissionLimitKind::share) return share->second;
-  double usual_rate = group.expected_rate / members / static_cast<double>(settings_.classes.size());
-  return share->second * usual_rate;
+  double expected_class_rate = group.expected_rate / members / static_cast<double>(settings_.classes.size());
+  return share->second * expected_class_rate;
 }
 
 }  // namespace beamshunt
--- a/src/policy/admission_control.h
+++ b/src/policy/admission_control.h
@@ -1,22 +1,26 @@
-// Admission control: the BFAIR step (cut the classes above their fair share at the slowest endpoint) and the
-// limits that proxies get.
+// Admission control: cuts the request classes that exceed their fair share at the most overloaded endpoint
+// (the BFAIR step) and computes the admission limits of the proxies.
 //
-// Question: how many requests of each class may the fleet admit, and each proxy of a group?
-// Inputs: demand (requests a second), slowdown, threshold and headroom of endpoints, the failed part of
-// attempts, the slow-start factor.
+// Question: How many requests of each class may the fleet admit, and how many may each proxy of a group
+// admit?
+// Inputs: demand in requests per second; slowdown, threshold and headroom of the endpoints; the ratio of
+// failed attempts; the slow-start factor.
 // Rules:
-//  - once a second the bottleneck is the endpoint with the highest slowdown over its threshold. While it and
-//    the fleet as a whole are overloaded, classes above their max-min fair share of (1 - alpha) x success
-//    share of the bottleneck's demand are cut by share over demand: only after three report periods over the
-//    threshold, and not before the effect of the last cut can show in reports. All other limited classes
-//    grow, and become unlimited at twice their throughput;
-//  - a class's rate is split over proxy groups by throughput, and within a group max-min to a limit a proxy;
-//  - while all endpoints that a table may use are warming up (a local-only class after its locality was
-//    lost), its proxies get no more than is guaranteed.
-// Reasons: Retro (Mace and others, NSDI 2015, section 5.1, Algorithm 1). A fleet with headroom needs better
-// weights, not cuts: cutting whole classes for one slow endpoint would refuse work that the others can do.
-// The warm-up guarantee (rule 4) where weights can't help: limits are the last resort.
-// It never chooses endpoints and never changes weights.
+//  - Once per second, the endpoint with the highest ratio of slowdown to threshold is the bottleneck. A cut
+//    happens only while the bottleneck and the fleet as a whole are overloaded, only after the bottleneck was
+//    over its threshold for three report periods, and not before the reports can show the effect of the
+//    previous cut. A cut reduces the rate of each class that exceeds its max-min fair share of (1 -
+//    kCutFraction) x success ratio of the bottleneck's demand, by the factor fair share / demand. The rates
+//    of all other limited classes grow; a class becomes unlimited when its rate reaches twice its throughput.
+//  - The rate of a class is split over proxy groups by their throughput. Within a group, it is split by
+//    max-min fairness into one limit for each proxy.
+//  - While all endpoints that a table may use are warming up (as for a local-only class after the loss of its
+//    locality), the limits admit only the guaranteed capacity.
+// Reasons: The step follows Retro (Mace and others, NSDI 2015, section 5.1, Algorithm 1). A fleet with
+// headroom needs better weights and no cuts: a cut of whole classes because of one slow endpoint would reject
+// work that other endpoints can do. The limit during warm-up keeps the warm-up guarantee (rule 4) where
+// weights cannot; a limit is the last resort.
+// Never: Admission control never selects endpoints and never changes weights.
 #pragma once
 
 #include <map>
@@ -32,33 +36,33 @@
 
 namespace beamshunt {
 
-// Requests a second at a proxy: a limit that binds nobody.
+// Limit in requests per second that is higher than the rate of any proxy.
 constexpr double kUnlimitedRate = 1e6;
 
-// The limit that admits everything, in the unit of the kind.
+// Returns the limit that admits all requests, in the unit of `kind`.
 [[nodiscard]] double unlimited(AdmissionLimitKind kind);
 
 class AdmissionControl {
  public:
-  // `settings` must outlive it.
+  // `settings` must outlive this object.
   explicit AdmissionControl(const Settings& settings);
 
-  // The BFAIR step, once a second: changes the classes' rates.
+  // Performs the BFAIR step, which changes the rates of the classes. Must be called once per second.
   void step(const EndpointMap& endpoints, const Demand& demand, const LoadEstimator& estimator, Time now);
 
   [[nodiscard]] bool limits_any_class() const;
 
-  // Forgets what was derived from endpoints for an earlier reply.
-  void begin_reply() { warm_shares_.clear(); }
+  // Clears the cache of values that were derived from the endpoints in an earlier batch.
+  void begin_batch() { warm_up_fractions_.clear(); }
 
-  // The limit for each proxy of the group, in the unit of Settings::admission_limit_kind.
+  // Returns the admission limit for each proxy of the group, in the unit of Settings::admission_limit_kind.
   [[nodiscard]] double limit(const ProxyGroupKey& key, const ProxyGroup& group, std::size_t request_class,
                              const Demand& demand, const ProxyMap& proxies, const FleetView& fleet);
 
  private:
   struct Bottleneck {
     const Endpoint* endpoint = nullptr;
-    std::vector<double> demand;  // requests a second there, by class
+    std::vector<double> demand;  // requests per second at the endpoint, indexed by class
   };
   [[nodiscard]] std::optional<Bottleneck> find_bottleneck(const EndpointMap& endpoints, const Demand& demand,
                                                           const LoadEstimator& estimator, Time now) const;
@@ -69,11 +73,11 @@
                                      const FleetView& fleet);
 
   const Settings& settings_;
-  std::vector<double> rates_;  // by class, requests a second of the fleet; infinite: not limited
-  Time next_cut_ = kLongAgo;
-  // By locality and local-only: the guaranteed part of listed capacity while all is warming up, else 1. Made
-  // once a reply.
-  std::map<std::pair<Locality, bool>, double> warm_shares_;
+  std::vector<double> rates_;  // requests per second of the fleet, by class; infinite: not limited
+  Time next_cut_ = kDistantPast;
+  // Guaranteed fraction of the listed capacity while all endpoints are warming up, else 1. The key is the
+  // locality and whether the class is local-only. Each value is computed at most once in a batch.
+  std::map<std::pair<Locality, bool>, double> warm_up_fractions_;
 };
 
 }  // namespace beamshunt
--- a/src/policy/controller.cpp
+++ b/src/policy/controller.cpp
@@ -1,5 +1,6 @@
-// The order of the decisions in a batch and a period. Each decision, with its inputs and reason, stands in
-// its own module; this file keeps the state and decides nothing itself. The order follows docs/design.md.
+// Runs the decisions of a batch and of a period in order. Each decision is implemented in its own module,
+// which states its inputs and reason. This file stores the state and makes no decisions. docs/design.md
+// specifies the order.
 #include "policy/controller.h"
 
 #include <iterator>
@@ -24,10 +25,11 @@
 namespace beamshunt {
 namespace {
 
-// The BFAIR and weight steps run once a second, as in the paper.
+// Interval of the BFAIR and weight steps, as in the paper.
 constexpr Duration kStepInterval{1000};
-// Lines: a new group's first update is written whole, since a proxy must not get a part of its tables.
-constexpr double kUnlimitedRoom = 1e6;
+// Lines for the first update of a new group, which is written in full because a proxy must not get incomplete
+// tables.
+constexpr double kUnlimitedLines = 1e6;
 
 }  // namespace
 
@@ -36,20 +38,20 @@
 
   std::vector<Action> handle(Time time, const std::vector<Event>& events);
 
-  // What each event changes at once.
+  // Apply the immediate effects of one event.
   void apply(const EndpointList& event);
   void apply(const EndpointReport& event);
   void apply(const HealthCheckResult& event);
-  void apply(const DemandReport& event) { proxies.apply(event); }
+  void apply(const DemandReport& event) { proxy_registry.apply(event); }
   void apply(const ProxyRegistered& event);
   void apply(const ProxyDisconnected& event);
   void apply(const UpdateAcknowledged& event) { budget.acknowledge(event.proxy, event.sequence_number); }
   void apply(const SharedChannelUsage& event) { budget.apply(event, now); }
   void apply(const ShardAssigned& event) { shards.apply(event); }
   void apply(const ShardOwnerReported& event) { shards.apply(event); }
-  void apply(const TimerFired& /*event*/) {}         // it only wakes: what is due goes by the time
-  void apply(const PeerMessage& /*event*/) {}        // peers have no say yet
-  void apply(const ShardDemandReport& /*event*/) {}  // nor has the load of shards
+  void apply(const TimerFired& /*event*/) {}         // ends a wait; due decisions depend on the time only
+  void apply(const PeerMessage& /*event*/) {}        // no decision uses peer messages
+  void apply(const ShardDemandReport& /*event*/) {}  // no decision uses the load of shards
 
   void run_period();
   void run_step();
@@ -57,23 +59,24 @@
   void assign_proxies();
   void assign(ProxyId id, Proxy& proxy);
 
-  // Made once a reply, when first needed.
+  // Returns the retry modes by class. They are computed at most once in a batch.
   const std::vector<RetryMode>& retry_modes();
   std::vector<ClassLimit> desired_limits(const ProxyGroupKey& key, const ProxyGroup& group);
-  // Made once a period, and when demand or the endpoint list changed.
+  // Returns the weights of the locality, computed at most once in a period and again after a change of demand
+  // or of the endpoint list.
   const LocalityWeights& locality_weights(Locality own, bool local_only);
   void set_desired_weights(const ProxyGroupKey& key, ProxyGroup& group);
 
-  [[nodiscard]] FleetView fleet() const { return {registry.endpoints(), slow_start, now}; }
+  [[nodiscard]] FleetView fleet() const { return {endpoint_registry.endpoints(), slow_start, now}; }
   template <typename Kind>
   void add_actions(std::vector<Kind> more) {
     actions.insert(actions.end(), std::make_move_iterator(more.begin()), std::make_move_iterator(more.end()));
   }
 
-  const Settings settings;  // the modules refer to it
+  const Settings settings;  // referenced by the modules
   ProxyGroupMap groups;
-  EndpointRegistry registry{settings};
-  ProxyRegistry proxies{settings};
+  EndpointRegistry endpoint_registry{settings};
+  ProxyRegistry proxy_registry{settings};
   LoadEstimator estimator{settings};
   SlowStart slow_start{settings};
   AdmissionControl admission{settings};
@@ -85,79 +88,82 @@
   ShardAssignment shards{settings};
 
   Time now{};
-  Time next_period = kLongAgo;
-  Time next_step = kLongAgo;
-  bool list_changed = false;  // since the last publication between two periods
-  std::optional<std::vector<RetryMode>> reply_retry_modes;
-  std::vector<Action> actions;  // of this reply
+  Time next_period = kDistantPast;
+  Time next_step = kDistantPast;
+  bool endpoint_list_changed = false;  // true: not yet published since a change
+  std::optional<std::vector<RetryMode>> batch_retry_modes;
+  std::vector<Action> actions;  // actions of the current batch
 };
 
 std::vector<Action> Controller::State::handle(Time time, const std::vector<Event>& events) {
   now = time;
-  reply_retry_modes.reset();
-  admission.begin_reply();
+  batch_retry_modes.reset();
+  admission.begin_batch();
   for (const Event& event : events) std::visit([&](const auto& e) { apply(e); }, event);
-  if (registry.take_due_subscription(now)) actions.emplace_back(Subscribe{true});
+  if (endpoint_registry.renew_subscription_if_due(now)) actions.emplace_back(Subscribe{true});
 
   bool period_due = now >= next_period;
-  bool demand_outdated = proxies.demand_is_outdated(events.size());
-  if (period_due || demand_outdated) proxies.sum_demand(groups);
-  if (period_due || demand_outdated || list_changed) subsetter.clear();
+  bool demand_outdated = proxy_registry.demand_is_stale_after(events.size());
+  if (period_due || demand_outdated) proxy_registry.sum_demand(groups);
+  if (period_due || demand_outdated || endpoint_list_changed) subsetter.clear_locality_weights();
   if (period_due) run_period();
 
   if (settings.shard_count > 0) {
-    add_actions(shards.assign_owners(registry.endpoints(), slow_start, now));
+    add_actions(shards.assign_owners(endpoint_registry.endpoints(), slow_start, now));
     return std::exchange(actions, {});
   }
-  // A changed list does not wait for the next period. One that changed in a period's own reply stays marked,
-  // and is published again in the next reply: its priority updates may find room then.
-  bool due = period_due || list_changed;
-  if (!period_due) list_changed = false;
+  // A changed endpoint list is published without waiting for the next period. If it changes in the batch of a
+  // period, the flag stays set and the next batch publishes again, because lines for the priority updates may
+  // be available then.
+  bool due = period_due || endpoint_list_changed;
+  if (!period_due) endpoint_list_changed = false;
   if (due) publish();
   assign_proxies();
-  if (auto sequence_number = budget.close(now)) actions.emplace_back(AckRequest{*sequence_number, false});
+  if (auto sequence_number = budget.finish_messages(now))
+    actions.emplace_back(AckRequest{*sequence_number, false});
   return std::exchange(actions, {});
 }
 
 void Controller::State::apply(const EndpointList& event) {
-  list_changed |= registry.apply(event, estimator.capacity_by_size(), now);
+  endpoint_list_changed |= endpoint_registry.apply(event, estimator.relative_capacities(), now);
 }
 
 void Controller::State::apply(const EndpointReport& event) {
-  auto found = registry.endpoints().find(event.endpoint);
-  if (found != registry.endpoints().end()) estimator.apply(event, found->second, now);
+  auto found = endpoint_registry.endpoints().find(event.endpoint);
+  if (found != endpoint_registry.endpoints().end()) estimator.apply(event, found->second, now);
 }
 
 void Controller::State::apply(const HealthCheckResult& event) {
-  auto found = registry.endpoints().find(event.endpoint);
-  if (found == registry.endpoints().end()) return;
+  auto found = endpoint_registry.endpoints().find(event.endpoint);
+  if (found == endpoint_registry.endpoints().end()) return;
   LoadEstimator::apply_load_report(event.load, found->second);
   OutlierDetector::apply(event, found->second);
 }
 
 void Controller::State::apply(const ProxyRegistered& event) {
-  Proxy proxy = proxies.make_proxy(event);
-  apply(ProxyDisconnected{event.proxy});  // a new stream replaces a former one
-  proxies.add(event.proxy, std::move(proxy));
+  Proxy proxy = proxy_registry.make_proxy(event);
+  apply(ProxyDisconnected{event.proxy});  // a new stream replaces the previous one
+  proxy_registry.add(event.proxy, std::move(proxy));
 }
 
 void Controller::State::apply(const ProxyDisconnected& event) {
-  Proxy* proxy = proxies.find(event.proxy);
+  Proxy* proxy = proxy_registry.find(event.proxy);
   if (proxy == nullptr) return;
-  budget.forget(event.proxy, now);
+  budget.remove_proxy(event.proxy, now);
   if (proxy->assigned) {
     ProxyGroup& group = groups[proxy->group];
     group.members.erase(event.proxy);
     subsetter.add_expected_rate(proxy->group, group, -proxy->expected_rate);
   }
-  proxies.remove(event.proxy);
+  proxy_registry.remove(event.proxy);
 }
 
 void Controller::State::run_period() {
-  registry.close_period(groups, now);
-  estimator.close_period(registry.endpoints(), now);
-  for (std::size_t z = 0; z < settings.localities.size(); ++z) {
-    add_actions(outliers.judge(Locality(z), registry.endpoints(), estimator.report_interval(), now));
+  endpoint_registry.end_period(groups, now);
+  estimator.end_period(endpoint_registry.endpoints(), now);
+  for (std::size_t locality = 0; locality < settings.localities.size(); ++locality) {
+    add_actions(outliers.evaluate(Locality(locality), endpoint_registry.endpoints(),
+                                  estimator.report_interval(), now));
   }
   if (now >= next_step) run_step();
   next_period = now + settings.report_period;
@@ -165,8 +171,8 @@
 }
 
 void Controller::State::run_step() {
-  EndpointMap& endpoints = registry.endpoints();
-  admission.step(endpoints, proxies.demand(), estimator, now);
+  EndpointMap& endpoints = endpoint_registry.endpoints();
+  admission.step(endpoints, proxy_registry.demand(), estimator, now);
   estimator.learn_relative_capacity(endpoints, slow_start, now);
   adjust_weights(endpoints, estimator, now);
   spillover.step(estimator, fleet());
@@ -175,10 +181,12 @@
 }
 
 void Controller::State::publish() {
-  const EndpointMap& endpoints = registry.endpoints();
+  const EndpointMap& endpoints = endpoint_registry.endpoints();
   std::optional<FleetAverages> averages = estimator.averages(endpoints, now);
-  double fail_share = averages ? averages->fail_share : 1;  // nothing reported: no calm fleet is known
-  slow_start.update_overload(fail_share, estimator.rate_per_capacity(), endpoints, proxies.demand(), now);
+  double failure_ratio =
+      averages ? averages->failure_ratio : 1;  // 1 without reports: no evidence that attempts succeed
+  slow_start.update_overload(failure_ratio, estimator.rate_per_capacity(), endpoints, proxy_registry.demand(),
+                             now);
 
   for (auto& [key, group] : groups) set_desired_weights(key, group);
   subsetter.balance_shared_endpoints(groups, fleet());
@@ -187,52 +195,56 @@
   for (UpdateKind kind : {UpdateKind::priority, UpdateKind::ordinary}) {
     for (auto* entry : order) {
       auto& [key, group] = *entry;
-      std::optional<double> room = scheduler.room(group, kind, now);
-      if (!room) continue;
-      UpdateRequest request{.kind = kind, .room = *room, .proxies_wait = proxies.any_unassigned()};
+      std::optional<double> available_lines = scheduler.available_lines(group, kind, now);
+      if (!available_lines) continue;
+      UpdateRequest request{.kind = kind,
+                            .available_lines = *available_lines,
+                            .has_unassigned_proxies = proxy_registry.any_unassigned()};
       if (kind == UpdateKind::ordinary) request.limits = desired_limits(key, group);
-      scheduler.write(key, group, request, fleet(), actions);
+      scheduler.write_update(key, group, request, fleet(), actions);
     }
   }
 }
 
 void Controller::State::assign_proxies() {
-  // Started without a list, an empty table would take away what the proxies hold (rule 1).
-  if (registry.endpoints().empty()) return;
-  // Many that register at once would overfill the channel (rule 5): who finds no room waits with what it
-  // holds.
-  while (proxies.any_unassigned() && scheduler.may_assign(now)) {
-    ProxyId id = proxies.take_unassigned();
-    Proxy* proxy = proxies.find(id);
+  // After a start without an endpoint list, assigning empty tables would replace the tables that proxies have
+  // and leave them without endpoints (rule 1).
+  if (endpoint_registry.endpoints().empty()) return;
+  // Assigning many proxies that register together would exceed the queue limit of the channel (rule 5). A
+  // proxy that cannot be assigned yet waits and keeps its present tables.
+  while (proxy_registry.any_unassigned() && scheduler.can_assign_proxies(now)) {
+    ProxyId id = proxy_registry.pop_unassigned();
+    Proxy* proxy = proxy_registry.find(id);
     if (proxy != nullptr && !proxy->assigned) assign(id, *proxy);
   }
 }
 
-// Once a stream, after all else of the batch: what the proxy holds is unknown, whole tables settle it.
+// Assigns tables once for each stream of a proxy, after all other updates of the batch. The state of the
+// proxy is unknown, so complete tables are assigned.
 void Controller::State::assign(ProxyId id, Proxy& proxy) {
-  ProxyGroup& group = subsetter.join(proxy, groups, registry.endpoints());
+  ProxyGroup& group = subsetter.assign_subset(proxy, groups, endpoint_registry.endpoints());
   scheduler.create_tables(group);
   proxy.assigned = true;
   group.members.insert(id);
   subsetter.add_expected_rate(proxy.group, group, proxy.expected_rate);
-  proxies.add_admitted(proxy, group);
+  proxy_registry.add_admitted_rates(proxy, group);
   if (group.members.size() == 1) {
     set_desired_weights(proxy.group, group);
     UpdateRequest request{.kind = UpdateKind::ordinary,
-                          .room = kUnlimitedRoom,
+                          .available_lines = kUnlimitedLines,
                           .limits = desired_limits(proxy.group, group),
-                          .proxies_wait = proxies.any_unassigned()};
-    scheduler.write(proxy.group, group, request, fleet(), actions);
+                          .has_unassigned_proxies = proxy_registry.any_unassigned()};
+    scheduler.write_update(proxy.group, group, request, fleet(), actions);
   }
-  scheduler.assign(id, group, actions);
+  scheduler.assign_tables(id, group, actions);
 }
 
 const std::vector<RetryMode>& Controller::State::retry_modes() {
-  if (reply_retry_modes) return *reply_retry_modes;
-  RetryInputs inputs{.averages = estimator.averages(registry.endpoints(), now),
+  if (batch_retry_modes) return *batch_retry_modes;
+  RetryInputs inputs{.averages = estimator.averages(endpoint_registry.endpoints(), now),
                      .mean_utilization = spillover.mean_utilization(),
                      .any_class_limited = admission.limits_any_class()};
-  std::vector<RetryMode>& modes = reply_retry_modes.emplace();
+  std::vector<RetryMode>& modes = batch_retry_modes.emplace();
   for (const RequestClass& request_class : settings.classes) {
     modes.push_back(retry_mode(request_class, settings, inputs));
   }
@@ -242,16 +254,16 @@
 std::vector<ClassLimit> Controller::State::desired_limits(const ProxyGroupKey& key, const ProxyGroup& group) {
   std::vector<ClassLimit> limits;
   for (std::size_t c = 0; c < settings.classes.size(); ++c) {
-    double limit = admission.limit(key, group, c, proxies.demand(), proxies.proxies(), fleet());
+    double limit = admission.limit(key, group, c, proxy_registry.demand(), proxy_registry.proxies(), fleet());
     limits.push_back({.limit = limit, .retry_mode = retry_modes()[c]});
   }
   return limits;
 }
 
 const LocalityWeights& Controller::State::locality_weights(Locality own, bool local_only) {
-  if (const LocalityWeights* stored = subsetter.find(own, local_only)) return *stored;
-  EndpointWeights weights = spillover.weights(own, local_only, proxies.demand(), fleet());
-  return subsetter.store(own, local_only, std::move(weights), registry.endpoints());
+  if (const LocalityWeights* stored = subsetter.find_locality_weights(own, local_only)) return *stored;
+  EndpointWeights weights = spillover.weights(own, local_only, proxy_registry.demand(), fleet());
+  return subsetter.store_locality_weights(own, local_only, std::move(weights), endpoint_registry.endpoints());
 }
 
 void Controller::State::set_desired_weights(const ProxyGroupKey& key, ProxyGroup& group) {
--- a/src/policy/controller.h
+++ b/src/policy/controller.h
@@ -1,5 +1,6 @@
-// The decision module's entry: events in, actions out. It speaks of endpoints, proxies and tables, never of a
-// wire. How its decisions fit together: docs/design.md.
+// The interface of the decision module: it turns events into actions. Its types describe endpoints, proxies
+// and tables and are independent of any wire format. docs/design.md describes how the decisions work
+// together.
 #pragma once
 
 #include <memory>
@@ -11,7 +12,8 @@
 
 namespace beamshunt {
 
-// One controller. The same settings and events give the same actions; instances share nothing.
+// Makes the decisions of one controller. Equal settings and equal sequences of events give equal actions.
+// Instances share no state.
 class Controller {
  public:
   explicit Controller(Settings settings);
@@ -19,7 +21,8 @@
   Controller(Controller&&) noexcept;
   Controller& operator=(Controller&&) noexcept;
 
-  // Handles a batch of events that came by `now`, and decides what is due. Times may not go back
+  // Applies a batch of events that arrived no later than `now`, makes the decisions that are due, and returns
+  // the resulting actions in the order in which the host has to carry them out. `now` must not decrease
   // between calls.
   std::vector<Action> handle(Time now, const std::vector<Event>& events);
 
--- a/src/policy/demand.h
+++ b/src/policy/demand.h
@@ -1,4 +1,5 @@
-// What the proxies admit, by locality and class. A record of sums; proxy_registry makes it.
+// The rate of requests that the proxies admit, by locality and request class. The class only stores sums;
+// proxy_registry computes them.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +10,22 @@
 
 namespace beamshunt {
 
-// All figures in requests a second.
+// Sums of admitted requests. All rates are in requests per second.
 class Demand {
  public:
   explicit Demand(const Settings& settings);
 
   void add(Locality locality, std::size_t request_class, double rate);
   [[nodiscard]] double at(Locality locality, std::size_t request_class) const;
-  [[nodiscard]] double of_class(std::size_t request_class) const;
-  [[nodiscard]] double of_locality(std::size_t locality) const;
-  // Of the classes that may be served outside their locality.
-  [[nodiscard]] double that_may_leave(std::size_t locality) const;
+  [[nodiscard]] double class_rate(std::size_t request_class) const;
+  [[nodiscard]] double locality_rate(std::size_t locality) const;
+  // Returns the rate of the classes that endpoints of other localities may serve.
+  [[nodiscard]] double spillable_rate(std::size_t locality) const;
   [[nodiscard]] double total() const;
 
  private:
-  std::vector<bool> local_only_;               // by class
-  std::vector<std::vector<double>> admitted_;  // by locality and class
+  std::vector<bool> local_only_;                     // indexed by class
+  std::vector<std::vector<double>> admitted_rates_;  // indexed by locality, then class
 };
 
 }  // namespace beamshunt
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -10,15 +10,16 @@
 namespace beamshunt {
 namespace {
 
-// Part of the subscription's lifetime after which it is renewed: before it ends, even if a renewal takes
-// long.
-constexpr double kRenewPart = 0.8;
-// Part of the subscription's lifetime that a backoff may last at most, as a divisor.
-constexpr double kBackoffLimitDivisor = 8;
-// Doublings of the backoff, at most: an unreachable discovery is still tried every few periods.
-constexpr int kBackoffDoublings = 4;
-// After a removal: no report or update of the endpoint is under way any more.
-constexpr Duration kForgetAfter{60000};
+// Fraction of a subscription's lifetime after which it is renewed, so that even a slow renewal finishes
+// before the subscription ends.
+constexpr double kRenewalFraction = 0.8;
+// Ratio of the subscription's lifetime to the maximum backoff.
+constexpr double kMaxBackoffDivisor = 8;
+// Maximum number of doublings of the backoff, so that an unreachable discovery service is still tried every
+// few periods.
+constexpr int kMaxBackoffDoublings = 4;
+// Time after a removal at which no report or update of the endpoint can still be in flight.
+constexpr Duration kRemovedEndpointRetention{60000};
 
 bool is_published(const ProxyGroupMap& groups, EndpointId id) {
   return std::ranges::any_of(groups, [&](const auto& entry) {
@@ -29,69 +30,71 @@
 
 }  // namespace
 
-bool EndpointRegistry::apply(const EndpointList& list, const std::map<double, double>& capacity_by_size,
+bool EndpointRegistry::apply(const EndpointList& list, const std::map<double, double>& relative_capacities,
                              Time now) {
   if (list.kind == EndpointListKind::lost) {
-    retry_after_loss(now);
+    schedule_resubscription(now);
     return false;
   }
   if (list.kind != EndpointListKind::cached) {
-    losses_in_a_row_ = 0;
-    resubscribe_at_ = now + settings_.subscription_lifetime * kRenewPart;
+    consecutive_losses_ = 0;
+    next_subscription_ = now + settings_.subscription_lifetime * kRenewalFraction;
   }
-  std::set<EndpointId> named;
+  std::set<EndpointId> named_ids;
   for (const ListedEndpoint& entry : list.entries) {
-    named.insert(entry.id);
-    apply_entry(entry, capacity_by_size);
+    named_ids.insert(entry.id);
+    apply_entry(entry, relative_capacities);
   }
   if (list.kind == EndpointListKind::incremental) return true;
   for (auto& [id, endpoint] : endpoints_) {
-    if (!named.contains(id)) endpoint.listed.state = EndpointState::removed;
+    if (!named_ids.contains(id)) endpoint.listed.state = EndpointState::removed;
   }
   return true;
 }
 
 void EndpointRegistry::apply_entry(const ListedEndpoint& entry,
-                                   const std::map<double, double>& capacity_by_size) {
+                                   const std::map<double, double>& relative_capacities) {
   auto [found, is_new] = endpoints_.try_emplace(entry.id);
   Endpoint& endpoint = found->second;
   if (is_new) {
-    auto learned = capacity_by_size.find(entry.capacity);
-    if (learned != capacity_by_size.end()) endpoint.relative_capacity = learned->second;
+    auto learned = relative_capacities.find(entry.capacity);
+    if (learned != relative_capacities.end()) endpoint.relative_capacity = learned->second;
   }
-  // A restart under the same id: what was known of its health is void, not of its speed. With its listed size
-  // instead, a slow kind would come back to more than it can do (rule 4).
-  const ListedEndpoint& before = endpoint.listed;
+  // After a restart under the same id, the health data is invalid but the learned capacity still applies.
+  // With its listed capacity, an endpoint on slower hardware would restart with more load than it can serve
+  // (rule 4).
+  const ListedEndpoint& previous = endpoint.listed;
   bool restarted =
-      entry.start_time_known && (!before.start_time_known || before.start_time != entry.start_time);
-  if (restarted) endpoint = endpoint.restarted();
+      entry.start_time_known && (!previous.start_time_known || previous.start_time != entry.start_time);
+  if (restarted) endpoint = endpoint.after_restart();
   endpoint.listed = entry;
 }
 
-void EndpointRegistry::retry_after_loss(Time now) {
-  ++losses_in_a_row_;
-  // Spread over half of the backoff, by the seed: all controllers lose one discovery at once, and it would
-  // fail again under all their calls.
-  auto hash = std::uint32_t((settings_.seed + std::uint64_t(losses_in_a_row_)) * kHashMultiplier);
+void EndpointRegistry::schedule_resubscription(Time now) {
+  ++consecutive_losses_;
+  // The seed spreads the subscriptions over half of the backoff: all controllers lose the same discovery
+  // service at the same time, and it would fail again under their simultaneous requests.
+  auto hash = std::uint32_t((settings_.seed + std::uint64_t(consecutive_losses_)) * kHashMultiplier);
   double spread = hash / std::exp2(33);
-  Duration longest = settings_.subscription_lifetime / kBackoffLimitDivisor;
-  Duration backoff = settings_.report_period * std::exp2(std::min(losses_in_a_row_, kBackoffDoublings));
-  resubscribe_at_ = now + std::min(longest, backoff) * (1 - spread);
+  Duration max_backoff = settings_.subscription_lifetime / kMaxBackoffDivisor;
+  Duration backoff = settings_.report_period * std::exp2(std::min(consecutive_losses_, kMaxBackoffDoublings));
+  next_subscription_ = now + std::min(max_backoff, backoff) * (1 - spread);
 }
 
-bool EndpointRegistry::take_due_subscription(Time now) {
-  if (!settings_.endpoint_list_by_subscription || now < resubscribe_at_) return false;
-  resubscribe_at_ = now + settings_.subscription_lifetime * kRenewPart;
+bool EndpointRegistry::renew_subscription_if_due(Time now) {
+  if (!settings_.endpoint_list_by_subscription || now < next_subscription_) return false;
+  next_subscription_ = now + settings_.subscription_lifetime * kRenewalFraction;
   return true;
 }
 
-void EndpointRegistry::close_period(const ProxyGroupMap& groups, Time now) {
-  // Kept by name for good, all that ever served would weigh on memory and on each look at the list.
+void EndpointRegistry::end_period(const ProxyGroupMap& groups, Time now) {
+  // Without this deletion, the records of all endpoints that ever existed would cost memory and time in each
+  // iteration.
   std::erase_if(endpoints_, [&](const auto& entry) {
     const Endpoint& endpoint = entry.second;
-    bool long_gone =
-        endpoint.listed.state == EndpointState::removed && now - endpoint.last_listed > kForgetAfter;
-    return long_gone && !is_published(groups, entry.first);
+    bool retention_expired = endpoint.listed.state == EndpointState::removed &&
+                             now - endpoint.last_listed > kRemovedEndpointRetention;
+    return retention_expired && !is_published(groups, entry.first);
   });
   for (auto& [id, endpoint] : endpoints_) {
     if (endpoint.listed.state != EndpointState::removed) endpoint.last_listed = now;
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -1,13 +1,15 @@
-// The endpoint list: what is listed, and when to subscribe again.
+// The endpoint registry: applies endpoint lists and schedules subscriptions.
 //
-// Questions: what does an endpoint list change in the fleet's records? When is the next subscription due?
+// Questions: How does an endpoint list change the records of the fleet? When is the next subscription due?
 // Inputs: endpoint lists (complete, incremental, cached, lost); times in ms.
-// Rule: a complete or cached list removes what it does not name; a new start time under a known id is a
-// restart. A subscription is renewed before its lifetime ends, and after a loss with a growing, spread
-// backoff. An endpoint that was removed long ago is forgotten once no table names it.
-// Reason: all controllers lose one discovery service at once and would fail it again together. A restarted
-// endpoint keeps its learned capacity: with its listed size a slow kind would be overloaded (rule 4).
-// It never judges an endpoint's health or load.
+// Rules: A complete or cached list removes every endpoint that is not in it. A new start time under a known
+// id is a restart. A subscription is renewed before its lifetime ends; after a loss it is retried with an
+// exponential backoff with jitter. An endpoint that was removed long ago is deleted once no table contains
+// it.
+// Reasons: All controllers lose a failing discovery service at the same time and would overload it again if
+// they subscribed together. A restarted endpoint keeps its learned capacity: with its listed capacity, an
+// endpoint on slower hardware would be overloaded (rule 4).
+// Never: The registry never evaluates the health or load of an endpoint.
 #pragma once
 
 #include <map>
@@ -19,30 +21,32 @@
 
 class EndpointRegistry {
  public:
-  // `settings` must outlive the registry.
+  // `settings` must outlive this object.
   explicit EndpointRegistry(const Settings& settings) : settings_(settings) {}
 
-  // Applies a list; true if it holds entries or a removal, false for a lost subscription.
-  // `capacity_by_size`: relative capacity that a new endpoint of a listed size begins with.
-  bool apply(const EndpointList& list, const std::map<double, double>& capacity_by_size, Time now);
+  // Applies a list. Returns false for a lost list and true for every other kind. `relative_capacities` maps a
+  // listed capacity to the initial relative capacity of a new endpoint.
+  bool apply(const EndpointList& list, const std::map<double, double>& relative_capacities, Time now);
 
-  // True if a subscription has to be sent now; the next one is due most of a lifetime later.
-  bool take_due_subscription(Time now);
+  // Returns whether a subscription has to be sent now. If it returns true, the next subscription is due when
+  // most of the subscription's lifetime has passed.
+  bool renew_subscription_if_due(Time now);
 
-  // Notes what is listed in this period and forgets what was removed long ago and is in no group's table.
-  void close_period(const ProxyGroupMap& groups, Time now);
+  // Records which endpoints are listed in this period, and deletes endpoints that were removed long ago and
+  // are in no published table.
+  void end_period(const ProxyGroupMap& groups, Time now);
 
   [[nodiscard]] EndpointMap& endpoints() { return endpoints_; }
   [[nodiscard]] const EndpointMap& endpoints() const { return endpoints_; }
 
  private:
-  void apply_entry(const ListedEndpoint& entry, const std::map<double, double>& capacity_by_size);
-  void retry_after_loss(Time now);
+  void apply_entry(const ListedEndpoint& entry, const std::map<double, double>& relative_capacities);
+  void schedule_resubscription(Time now);
 
   const Settings& settings_;
   EndpointMap endpoints_;
-  Time resubscribe_at_ = kLongAgo;
-  int losses_in_a_row_ = 0;
+  Time next_subscription_ = kDistantPast;
+  int consecutive_losses_ = 0;
 };
 
 }  // namespace beamshunt
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -1,4 +1,4 @@
-// What a controller is told.
+// The events that the host of a controller passes to Controller::handle.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 struct ListedEndpoint {
   EndpointId id{};
   Locality locality{};
-  std::uint32_t cell = 0;  // failure domain within the locality
-  double capacity = 1;     // relative to other endpoints, as listed: rough
+  std::uint32_t cell = 0;  // number of the failure domain within the locality
+  double capacity = 1;     // configured capacity relative to other endpoints; a rough value
   EndpointState state = EndpointState::available;
   Time start_time{};
-  bool start_time_known = false;  // false: started long ago
+  bool start_time_known = false;  // false: the endpoint started long ago
 };
 
 struct EndpointList {
@@ -26,56 +26,61 @@
 };
 
 struct TimerFired {
-  std::uint64_t token = 0;  // of the SetTimer action
+  std::uint64_t token = 0;  // token of the SetTimer action
 };
 
 struct HealthCheckResult {
   EndpointId endpoint{};
   AttemptOutcome outcome = AttemptOutcome::success;
   Duration duration{};
-  LoadReport load;  // empty where the check asked for none
+  LoadReport load;  // empty if the check did not request a load report
 };
 
 struct PeerMessage {
-  std::uint32_t sender = 0;  // instance number of another controller
+  std::uint32_t sender = 0;  // instance number of the sending controller
   std::vector<std::uint8_t> payload;
 };
 
-struct ProxyRegistered {  // a new stream of the proxy; it replaces a former one
+// A proxy opened a stream. The new stream replaces any earlier stream of this proxy.
+struct ProxyRegistered {
   ProxyId proxy{};
   Locality locality{};
-  double expected_rate = 0;         // requests a second; 0: unknown
-  bool only_static_tables = false;  // it holds no table that a controller assigned
+  double expected_rate = 0;         // requests per second; 0: unknown
+  bool only_static_tables = false;  // true: none of its tables was assigned by a controller
 };
 
 struct ProxyDisconnected {
   ProxyId proxy{};
 };
 
-struct UpdateAcknowledged {  // the proxy applied all updates up to an AckRequest
+// A proxy applied all updates up to the AckRequest with this sequence number.
+struct UpdateAcknowledged {
   ProxyId proxy{};
-  Duration delay{};  // from sending to applying
+  Duration delay{};  // time between sending and applying the update
   std::uint32_t sequence_number = 0;
 };
 
-struct EndpointReport {  // attempts of one locality's proxies that ended at one endpoint
+// Counts the attempts that the proxies of one locality made at one endpoint and that ended in the interval.
+struct EndpointReport {
   Locality source_locality{};
   EndpointId endpoint{};
   double attempts = 0;
   double failed = 0;
-  Duration mean_latency{};  // of the successful attempts
-  Duration interval{};      // that the report covers
+  Duration mean_latency{};  // mean over the successful attempts
+  Duration interval{};      // time covered by the report
   LoadReport load;
 };
 
-struct DemandReport {  // requests of a class that reached a proxy, rejected and retried ones included
+// Counts the requests of one class that arrived at a proxy, including rejected and retried requests.
+struct DemandReport {
   ProxyId proxy{};
   ClassId request_class{};
   double arrivals = 0;
-  double failed = 0;  // admitted and not answered
-  Duration interval{};
+  double failed = 0;    // requests that were admitted but not answered
+  Duration interval{};  // time covered by the report
 };
 
+// Counts the requests of one class that arrived for a shard.
 struct ShardDemandReport {
   TableId shard{};
   ClassId request_class{};
@@ -84,24 +89,29 @@
   Duration interval{};
 };
 
-struct ShardAssigned {  // this controller owns the shard from now on, or no longer
+// Responsibility for a shard was given to this controller or withdrawn from it.
+struct ShardAssigned {
   TableId shard{};
-  bool assigned = false;
+  bool assigned = false;  // false: withdrawn
 };
 
-struct ShardOwnerReported {  // an endpoint serves an assigned shard already
+// An endpoint already serves a shard that was assigned to this controller.
+struct ShardOwnerReported {
   TableId shard{};
   EndpointId endpoint{};
   double weight = 0;
 };
 
-// Another controller sends updates through the same channel: the one that this replaces, or that replaces it.
+// Another controller sends updates through the same channel during a handover: either the predecessor or the
+// successor of this controller.
 struct SharedChannelUsage {
-  double queued_lines = 0;               // of its messages that are not acknowledged
-  std::map<ProxyId, int> messages_sent;  // since the last such event; at first, within the message window
+  double queued_lines = 0;  // lines of the other controller's unacknowledged messages
+  // Messages sent to each proxy since the previous event of this kind; in the first event, messages sent
+  // within Settings::message_window.
+  std::map<ProxyId, int> messages_sent;
 };
 
-// The order is part of the flight record's format.
+// The order of the alternatives is part of the flight record format.
 using Event = std::variant<EndpointList, TimerFired, HealthCheckResult, PeerMessage, ProxyRegistered,
                            ProxyDisconnected, UpdateAcknowledged, EndpointReport, DemandReport,
                            ShardDemandReport, ShardAssigned, ShardOwnerReported, SharedChannelUsage>;
--- a/src/policy/failure_thresholds.h
+++ b/src/policy/failure_thresholds.h
@@ -1,13 +1,14 @@
-// What failed attempts prove: the bounds that several decisions share.
+// Thresholds on failed attempts that several decisions use.
 #pragma once
 
 namespace beamshunt {
 
-// Part of attempts. While more than this fails everywhere, the cause is common (overload, a cut, a bad
-// release): no single endpoint is to blame, and no other endpoint would do better.
-constexpr double kCommonFailShare = 0.2;
+// Ratio of failed attempts. While the ratio over all endpoints is higher, the failures have a common cause
+// (overload, a network partition, a faulty release): no single endpoint is at fault, and no other endpoint
+// would give better results.
+constexpr double kCommonFailureRatio = 0.2;
 
-// Attempts. Fewer failures may be chance and are no evidence against an endpoint.
+// Failed attempts. Fewer failures may be random and are not evidence against an endpoint.
 constexpr double kMinFailures = 3;
 
 }  // namespace beamshunt
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -9,19 +9,22 @@
 namespace beamshunt {
 namespace {
 
-// Slowdowns this near to the mean (as a ratio, less 1) leave a weight alone: differences of service, not of
-// load.
+// Relative distance of a slowdown from the mean within which a weight does not change, because such
+// differences come from service times and not from load.
 constexpr double kDeadBand = 0.25;
-// Exponent of the weight step: a weight moves a third of the way that the slowdown asks for.
+// Exponent of the weight step: a weight changes by about a third of the correction for its slowdown.
 constexpr double kWeightGain = 0.3;
-// Part of the adjustment's exponent that a step leaves: an adjustment without cause fades within seconds.
-constexpr double kAdjustmentFading = 0.8;
-// Bounds of the weight adjustment: an endpoint is not drained, nor flooded, for its slowdown alone.
+// Fraction of the adjustment's exponent that remains after a step, so that an adjustment without cause decays
+// within seconds.
+constexpr double kAdjustmentDecay = 0.8;
+// Bounds of the weight adjustment, so that slowdown alone neither removes all load from an endpoint nor
+// overloads it.
 constexpr double kMinAdjustment = 0.2;
 constexpr double kMaxAdjustment = 2;
-// Successful attempts since the last step at which a step counts half: a few say little.
+// Successful attempts since the last step at which a step has half of its full effect; fewer attempts are
+// less significant.
 constexpr double kConfidenceAttempts = 8;
-// Least slowdown that is reckoned with: keeps the power finite.
+// Lower bound for a slowdown, which keeps the power finite.
 constexpr double kMinSlowdown = 0.01;
 
 }  // namespace
@@ -31,16 +34,16 @@
   double mean = averages ? averages->slowdown : 1;
   for (auto& [id, endpoint] : endpoints) {
     double relative_slowdown = 1;
-    if (estimator.is_current(endpoint, now)) {
+    if (estimator.has_current_load(endpoint, now)) {
       relative_slowdown = std::max(LoadEstimator::slowdown(endpoint), kMinSlowdown) / mean;
     }
     double successes = std::exchange(endpoint.successes_since_adjustment, 0);
     double confidence = successes / (successes + kConfidenceAttempts);
     bool in_dead_band = relative_slowdown < 1 + kDeadBand && relative_slowdown > 1 / (1 + kDeadBand);
     if (in_dead_band) relative_slowdown = 1;
-    double faded = std::pow(endpoint.weight_adjustment, kAdjustmentFading);
+    double decayed = std::pow(endpoint.weight_adjustment, kAdjustmentDecay);
     double step = std::pow(relative_slowdown, -kWeightGain * confidence);
-    endpoint.weight_adjustment = std::clamp(faded * step, kMinAdjustment, kMaxAdjustment);
+    endpoint.weight_adjustment = std::clamp(decayed * step, kMinAdjustment, kMaxAdjustment);
   }
 }
 
@@ -49,7 +52,7 @@
   if (endpoint.available() && !is_ejected(endpoint, from)) {
     factor = fleet.slow_start.factor_under_overload(endpoint, fleet.now);
   }
-  if (factor < 1 && fleet.slow_start.holds_back()) return 0;
+  if (factor < 1 && fleet.slow_start.withholds_traffic()) return 0;
   return endpoint.listed.capacity * endpoint.relative_capacity * factor;
 }
 
@@ -58,7 +61,7 @@
   return weight * (warming_up ? std::min(1.0, endpoint.weight_adjustment) : endpoint.weight_adjustment);
 }
 
-double due_load(const Endpoint& endpoint, const FleetView& fleet) {
+double target_load(const Endpoint& endpoint, const FleetView& fleet) {
   return endpoint.listed.capacity * endpoint.relative_capacity * endpoint.weight_adjustment *
          fleet.slow_start.factor_under_overload(endpoint, fleet.now);
 }
--- a/src/policy/load_estimator.cpp
+++ b/src/policy/load_estimator.cpp
@@ -9,41 +9,46 @@
 namespace beamshunt {
 namespace {
 
-// Weight of one report period's sample: two periods make three quarters of a figure.
+// Weight of the sample of one report period: two periods contribute three quarters of an estimate.
 constexpr double kRateSmoothing = 0.5;
-// Weight of one report's interval: the mean changes only with the fleet's size.
+// Weight of the interval of one report; the mean interval changes only with the size of the fleet.
 constexpr double kIntervalSmoothing = 0.02;
-// Attempts that weigh as much in the latency as all known before: it follows a few dozen requests.
+// Number of attempts with a total weight equal to that of all earlier attempts; the latency follows a few
+// dozen requests.
 constexpr double kLatencyAttempts = 8;
-// The same for the long-term latency: the lowest of a shorter mean would be noise, not a baseline.
+// As kLatencyAttempts, for the long-term latency. The minimum of a shorter mean would be noise and not a
+// baseline.
 constexpr double kLongTermAttempts = 100;
-// Successful attempts before a baseline is taken: a few say little.
-constexpr double kBaselineAttempts = 20;
-// Part of the tightest latency objective that a baseline may be: a higher one was taken under overload, as by
-// a controller that restarts in the middle of it.
-constexpr double kBaselineLimit = 0.5;
-// Report intervals without a finished attempt after which an endpoint's figures are stale.
+// Successful attempts before a baseline is set; fewer attempts are not significant.
+constexpr double kMinBaselineAttempts = 20;
+// Maximum of the first baseline, as a fraction of the shortest latency objective. A higher value was measured
+// under overload, as by a controller that restarts during one.
+constexpr double kMaxInitialBaseline = 0.5;
+// Report intervals without a finished attempt after which the estimates of an endpoint are stale.
 constexpr int kStaleIntervals = 4;
-// Report periods after which a load report is stale: across a network cut, the load from there fades while
-// the utilization would stay, and the endpoint's capacity would seem to shrink.
+// Report periods after which a load report is stale. Across a network partition, the reported load decays
+// while the utilization would stay, and the capacity of the endpoint would appear to decrease.
 constexpr int kStaleLoadPeriods = 8;
-// Part of the counts of attempts that remains after one report period: outcomes of a few seconds count.
-constexpr double kCountFading = 0.7;
-// Least successful part of attempts that a slowdown is divided by: one endpoint can't look endlessly slow.
-constexpr double kMinSuccessShareInSlowdown = 0.2;
-// Part of the tightest latency objective that queueing takes at the threshold T: work then still succeeds.
-constexpr double kThresholdPart = 0.3;
-// Milliseconds: keeps the threshold finite for a baseline near zero.
-constexpr double kMinBaseline = 1;
-// Utilization below which a capacity can't be derived: the quotient would be noise.
+// Fraction of the attempt counts that remains after one report period; the counts cover the outcomes of a few
+// seconds.
+constexpr double kCountRetention = 0.7;
+// Lower bound for the ratio of successful attempts in a slowdown, which bounds the slowdown of one endpoint.
+constexpr double kMinSuccessRatioInSlowdown = 0.2;
+// Queueing time at the threshold T, as a fraction of the shortest latency objective; requests still succeed
+// then.
+constexpr double kThresholdQueueing = 0.3;
+// Lower bound in ms for the baseline in a threshold, which keeps the threshold finite for a baseline near 0.
+constexpr double kMinBaselineMs = 1;
+// Utilization below which no capacity is derived, because the quotient would be noise.
 constexpr double kMinUtilization = 0.1;
-// Utilization at which an endpoint has no headroom: no core is left for the next request.
+// Utilization at which an endpoint has no headroom, because no core is free for the next request.
 constexpr double kFullUtilization = 0.85;
-// Weight of one step's sample of an endpoint's own capacity: the sample is noisy and late.
-constexpr double kOwnCapacitySmoothing = 0.15;
-// The same for all endpoints of one listed size together: their mean is less noisy.
-constexpr double kCommonCapacitySmoothing = 0.5;
-// Bounds of the relative capacity: a listed size is not wrong by more.
+// Weight of one step's sample of the capacity of one endpoint; the sample is noisy and delayed.
+constexpr double kEndpointCapacitySmoothing = 0.15;
+// Weight of one step's sample of the mean capacity of all endpoints of one listed capacity; the mean is less
+// noisy.
+constexpr double kSharedCapacitySmoothing = 0.5;
+// Bounds of the relative capacity; a listed capacity has no larger error.
 constexpr double kMinRelativeCapacity = 0.1;
 constexpr double kMaxRelativeCapacity = 4;
 
@@ -51,7 +56,7 @@
 
 LoadEstimator::LoadEstimator(const Settings& settings) : settings_(settings) {
   for (const RequestClass& request_class : settings.classes) {
-    tightest_objective_ = std::min(tightest_objective_, request_class.latency_objective);
+    min_latency_objective_ = std::min(min_latency_objective_, request_class.latency_objective);
   }
 }
 
@@ -62,11 +67,12 @@
   double succeeded = std::max(0.0, report.attempts - report.failed);
   double periods = report.interval / settings_.report_period;
   double seconds = report.interval / Duration(1000);
-  double kept = std::pow(kCountFading, periods);
-  smooth(mean_interval_, report.interval.count(), kIntervalSmoothing, mean_interval_ == 0);
+  double retained = std::pow(kCountRetention, periods);
+  smooth(mean_report_interval_ms_, report.interval.count(), kIntervalSmoothing,
+         mean_report_interval_ms_ == 0);
   smooth(path.attempt_rate, report.attempts / seconds, 1 - std::pow(1 - kRateSmoothing, periods));
-  path.succeeded = path.succeeded * kept + succeeded;
-  path.failed = path.failed * kept + report.failed;
+  path.succeeded = path.succeeded * retained + succeeded;
+  path.failed = path.failed * retained + report.failed;
   path.failed_since_success = succeeded > 0 ? 0 : path.failed_since_success + report.failed;
   path.last_report = now;
   endpoint.last_report = now;
@@ -79,9 +85,9 @@
   smooth(endpoint.long_term_latency, latency, succeeded / (succeeded + kLongTermAttempts), first);
   endpoint.successes += succeeded;
   endpoint.successes_since_adjustment += succeeded;
-  if (endpoint.successes < kBaselineAttempts) return;
+  if (endpoint.successes < kMinBaselineAttempts) return;
   double baseline = endpoint.baseline_latency;
-  double limit = baseline > 0 ? baseline : kBaselineLimit * tightest_objective_.count();
+  double limit = baseline > 0 ? baseline : kMaxInitialBaseline * min_latency_objective_.count();
   endpoint.baseline_latency = std::min(limit, endpoint.long_term_latency);
 }
 
@@ -90,14 +96,14 @@
   if (utilization == report.end()) return;
   double sample = std::clamp(utilization->second, 0.0, 1.0);
   smooth(endpoint.utilization, sample, kRateSmoothing, endpoint.utilization < 0);
-  endpoint.utilization_age = 0;
+  endpoint.periods_since_load_report = 0;
 }
 
 Duration LoadEstimator::report_interval() const {
-  return std::max(settings_.report_period, Duration(mean_interval_));
+  return std::max(settings_.report_period, Duration(mean_report_interval_ms_));
 }
 
-void LoadEstimator::close_period(EndpointMap& endpoints, Time now) const {
+void LoadEstimator::end_period(EndpointMap& endpoints, Time now) const {
   for (auto& [id, endpoint] : endpoints) {
     endpoint.attempt_rate = 0;
     endpoint.success_rate = 0;
@@ -112,75 +118,81 @@
       endpoint.attempt_rate += path.attempt_rate;
       endpoint.success_rate += path.attempt_rate * path.succeeded / path.attempts();
     }
-    ++endpoint.utilization_age;
-    if (endpoint.utilization_age > kStaleLoadPeriods) endpoint.utilization = -1;
+    ++endpoint.periods_since_load_report;
+    if (endpoint.periods_since_load_report > kStaleLoadPeriods) endpoint.utilization = -1;
     bool overloaded = slowdown(endpoint) > threshold(endpoint);
     endpoint.periods_over_threshold = overloaded ? endpoint.periods_over_threshold + 1 : 0;
   }
 }
 
-bool LoadEstimator::tells_capacity(const Endpoint& endpoint, const SlowStart& slow_start, Time now) const {
-  if (!is_current(endpoint, now) || endpoint.utilization < kMinUtilization) return false;
-  // The speed of an endpoint that is warming up will not last.
+bool LoadEstimator::has_capacity_sample(const Endpoint& endpoint, const SlowStart& slow_start,
+                                        Time now) const {
+  if (!has_current_load(endpoint, now) || endpoint.utilization < kMinUtilization) return false;
+  // The speed of a warming endpoint is temporary.
   return endpoint.success_rate > 0 && endpoint.listed.capacity > 0 && slow_start.factor(endpoint, now) >= 1;
 }
 
-double LoadEstimator::over_mean(double full_rate, double listed_capacity, const CapacitySample& fleet) {
-  return std::clamp(full_rate / listed_capacity * fleet.listed_capacity / fleet.full_rate,
-                    kMinRelativeCapacity, kMaxRelativeCapacity);
+double LoadEstimator::relative_to_fleet(double full_utilization_rate, double listed_capacity,
+                                        const CapacitySample& fleet) {
+  return std::clamp(
+      full_utilization_rate / listed_capacity * fleet.listed_capacity / fleet.full_utilization_rate,
+      kMinRelativeCapacity, kMaxRelativeCapacity);
 }
 
 void LoadEstimator::learn_relative_capacity(EndpointMap& endpoints, const SlowStart& slow_start, Time now) {
   CapacitySample fleet;
   std::map<double, CapacitySample> by_size;
   for (auto& [id, endpoint] : endpoints) {
-    if (!tells_capacity(endpoint, slow_start, now)) continue;
+    if (!has_capacity_sample(endpoint, slow_start, now)) continue;
     for (CapacitySample* sample : {&fleet, &by_size[endpoint.listed.capacity]}) {
-      sample->full_rate += endpoint.success_rate / endpoint.utilization;
+      sample->full_utilization_rate += endpoint.success_rate / endpoint.utilization;
       sample->listed_capacity += endpoint.listed.capacity;
     }
   }
-  if (fleet.listed_capacity > 0 && slow_start.fleet_fail_share() <= kCommonFailShare) {
-    smooth(rate_per_capacity_, fleet.full_rate / fleet.listed_capacity, kOwnCapacitySmoothing,
-           rate_per_capacity_ == 0);
+  if (fleet.listed_capacity > 0 && slow_start.fleet_failure_ratio() <= kCommonFailureRatio) {
+    smooth(rate_per_capacity_, fleet.full_utilization_rate / fleet.listed_capacity,
+           kEndpointCapacitySmoothing, rate_per_capacity_ == 0);
   }
-  // Endpoints listed alike are alike wrongly listed: together they tell it sooner, and to new ones, too.
+  // The listed capacities of endpoints of equal listed capacity have similar errors. Their common mean shows
+  // the error sooner, and it also applies to new endpoints.
   for (auto& [size, sample] : by_size) {
-    auto common = capacity_by_size_.try_emplace(size, 1).first;
-    smooth(common->second, over_mean(sample.full_rate, sample.listed_capacity, fleet),
-           kCommonCapacitySmoothing);
+    auto shared = relative_capacities_.try_emplace(size, 1).first;
+    smooth(shared->second, relative_to_fleet(sample.full_utilization_rate, sample.listed_capacity, fleet),
+           kSharedCapacitySmoothing);
   }
   for (auto& [id, endpoint] : endpoints) {
-    auto common = capacity_by_size_.find(endpoint.listed.capacity);
-    if (common == capacity_by_size_.end()) continue;
-    if (tells_capacity(endpoint, slow_start, now)) {
-      double full_rate = endpoint.success_rate / endpoint.utilization;
-      smooth(endpoint.own_capacity_factor,
-             over_mean(full_rate, endpoint.listed.capacity, fleet) / common->second, kOwnCapacitySmoothing);
+    auto shared = relative_capacities_.find(endpoint.listed.capacity);
+    if (shared == relative_capacities_.end()) continue;
+    if (has_capacity_sample(endpoint, slow_start, now)) {
+      double full_utilization_rate = endpoint.success_rate / endpoint.utilization;
+      smooth(endpoint.endpoint_capacity_factor,
+             relative_to_fleet(full_utilization_rate, endpoint.listed.capacity, fleet) / shared->second,
+             kEndpointCapacitySmoothing);
     }
-    endpoint.relative_capacity =
-        std::clamp(common->second * endpoint.own_capacity_factor, kMinRelativeCapacity, kMaxRelativeCapacity);
+    endpoint.relative_capacity = std::clamp(shared->second * endpoint.endpoint_capacity_factor,
+                                            kMinRelativeCapacity, kMaxRelativeCapacity);
   }
 }
 
-bool LoadEstimator::is_current(const Endpoint& endpoint, Time now) const {
+bool LoadEstimator::has_current_load(const Endpoint& endpoint, Time now) const {
   return endpoint.available() && endpoint.baseline_latency > 0 &&
          now - endpoint.last_report < kStaleIntervals * report_interval();
 }
 
-double LoadEstimator::fail_share(const Endpoint& endpoint) {
-  Path all = endpoint.all_paths();
+double LoadEstimator::failure_ratio(const Endpoint& endpoint) {
+  Path all = endpoint.path_totals();
   return all.attempts() >= kMinFailures ? all.failed / all.attempts() : 0;
 }
 
 double LoadEstimator::slowdown(const Endpoint& endpoint) {
   if (endpoint.baseline_latency <= 0) return 1;
-  double success_share = std::max(kMinSuccessShareInSlowdown, 1 - fail_share(endpoint));
-  return endpoint.latency / endpoint.baseline_latency / success_share;
+  double success_ratio = std::max(kMinSuccessRatioInSlowdown, 1 - failure_ratio(endpoint));
+  return endpoint.latency / endpoint.baseline_latency / success_ratio;
 }
 
 double LoadEstimator::threshold(const Endpoint& endpoint) const {
-  return 1 + kThresholdPart * tightest_objective_.count() / std::max(endpoint.baseline_latency, kMinBaseline);
+  return 1 + kThresholdQueueing * min_latency_objective_.count() /
+                 std::max(endpoint.baseline_latency, kMinBaselineMs);
 }
 
 double LoadEstimator::headroom(const Endpoint& endpoint) const {
@@ -193,15 +205,15 @@
   FleetAverages sums;
   double load = 0;
   for (const auto& [id, endpoint] : endpoints) {
-    if (!is_current(endpoint, now)) continue;
-    sums.fail_share += endpoint.attempt_rate * fail_share(endpoint);
+    if (!has_current_load(endpoint, now)) continue;
+    sums.failure_ratio += endpoint.attempt_rate * failure_ratio(endpoint);
     sums.slowdown += endpoint.attempt_rate * slowdown(endpoint);
     sums.threshold += endpoint.attempt_rate * threshold(endpoint);
     sums.headroom += endpoint.attempt_rate * headroom(endpoint);
     load += endpoint.attempt_rate;
   }
   if (load <= 0) return std::nullopt;
-  return FleetAverages{.fail_share = sums.fail_share / load,
+  return FleetAverages{.failure_ratio = sums.failure_ratio / load,
                        .slowdown = sums.slowdown / load,
                        .threshold = sums.threshold / load,
                        .headroom = sums.headroom / load};
--- a/src/policy/load_estimator.h
+++ b/src/policy/load_estimator.h
@@ -1,17 +1,19 @@
-// Load estimates: rates, latencies, utilization and relative capacity of endpoints, from reports.
+// Load estimation: rates, latencies, utilization and relative capacity of endpoints, derived from reports.
 //
-// Questions: how loaded is an endpoint, and the fleet? What is an endpoint's real capacity? Which figures are
-// stale?
+// Questions: How loaded is an endpoint, and how loaded is the fleet? What is the real capacity of an
+// endpoint? Which estimates are stale?
 // Inputs: endpoint reports (attempts, latency in ms, interval in ms) and load reports (utilization, 0 to 1).
 // Rules:
-//  - rates are smoothed by the time that a report covers, latencies by the number of attempts;
-//  - slowdown = latency over baseline, divided by the successful part of attempts;
-//  - an endpoint without a report for several report intervals is stale and has no say in averages;
-//  - relative capacity = successful rate over utilization, compared with the fleet's mean.
-// Reasons: BFAIR compares slowdowns (Retro, NSDI 2015, section 5.1). Failed attempts count as waiting, lest
-// an endpoint that rejects work or answers errors quickly look fast and idle. Listed sizes are rough. Many
-// endpoints and proxies share one intake of reports, so that an endpoint is reported every few seconds.
-// It never changes a weight, a limit or the state of an endpoint.
+//  - Rates are smoothed by the time that a report covers, latencies by the number of attempts.
+//  - The slowdown is latency / baseline latency / ratio of successful attempts.
+//  - An endpoint without a report for several report intervals is stale and is left out of averages.
+//  - The relative capacity is the rate of successful attempts over utilization, relative to the mean of the
+//    fleet.
+// Reasons: BFAIR compares slowdowns (Retro, NSDI 2015, section 5.1). Failed attempts count as waiting time,
+// because an endpoint that rejects work or returns errors quickly would otherwise look fast and idle. Listed
+// capacities are rough values. Many endpoints and proxies share one limited input of reports, so an endpoint
+// is reported only every few seconds.
+// Never: The load estimator never changes a weight, a limit or the state of an endpoint.
 #pragma once
 
 #include <map>
@@ -23,64 +25,73 @@
 
 namespace beamshunt {
 
-// Means over the endpoints with current reports, by load.
+// Means over the endpoints with current load data, weighted by attempt rate.
 struct FleetAverages {
-  double fail_share = 0;  // failed part of attempts
-  double slowdown = 0;    // latency over baseline
-  double threshold = 0;   // slowdown at which an endpoint is overloaded
-  double headroom = 0;    // unused part of capacity
+  double failure_ratio = 0;  // ratio of failed attempts
+  double slowdown = 0;       // ratio of latency to baseline latency
+  double threshold = 0;      // slowdown at which an endpoint is overloaded
+  double headroom = 0;       // unused fraction of capacity
 };
 
 class LoadEstimator {
  public:
-  // `settings` must outlive it.
+  // `settings` must outlive this object.
   explicit LoadEstimator(const Settings& settings);
 
+  // Updates the estimates of the endpoint from a report of its attempts.
   void apply(const EndpointReport& report, Endpoint& endpoint, Time now);
-  // Takes the utilization, if the report holds one.
+  // Updates the utilization of the endpoint if the report contains one.
   static void apply_load_report(const LoadReport& report, Endpoint& endpoint);
 
-  // Sums each endpoint's rates over its paths, drops stale figures, counts periods of overload.
-  void close_period(EndpointMap& endpoints, Time now) const;
-  // Corrects listed capacities by utilization. Uses the fleet's failures as of the last publication.
+  // Sums the rates of each endpoint over its paths, clears stale estimates and counts periods of overload.
+  void end_period(EndpointMap& endpoints, Time now) const;
+  // Learns relative capacities from utilization. Uses the fleet's failure ratio of the last publication.
   void learn_relative_capacity(EndpointMap& endpoints, const SlowStart& slow_start, Time now);
 
-  // Whether the endpoint is available and its figures are known and not stale. A stale endpoint counts as
-  // average, by having no say: its last figures may be long out of date.
-  [[nodiscard]] bool is_current(const Endpoint& endpoint, Time now) const;
-  // Failed part of attempts; 0 where too few were made to say.
-  [[nodiscard]] static double fail_share(const Endpoint& endpoint);
-  // Latency over baseline, failed attempts counted as waiting; 1 while there is no baseline.
+  // Returns whether the endpoint is available and has estimates that are not stale. A stale endpoint is left
+  // out of averages, which treats it as average, because its last estimates may be far out of date.
+  [[nodiscard]] bool has_current_load(const Endpoint& endpoint, Time now) const;
+  // Returns the ratio of failed attempts; 0 while there are too few attempts for an estimate.
+  [[nodiscard]] static double failure_ratio(const Endpoint& endpoint);
+  // Returns latency / baseline latency / ratio of successful attempts, so that failed attempts count as
+  // waiting time; 1 while there is no baseline.
   [[nodiscard]] static double slowdown(const Endpoint& endpoint);
-  // The paper's T, by the latency objective and the endpoint's own baseline.
+  // Returns the slowdown above which the endpoint is overloaded (T in the paper), derived from the shortest
+  // latency objective and the endpoint's baseline latency.
   [[nodiscard]] double threshold(const Endpoint& endpoint) const;
-  // Unused part of capacity: by load reports, else by how far its queueing is from the threshold's.
+  // Returns the unused fraction of the endpoint's capacity (0 to 1), derived from load reports if there are
+  // any, else from the distance of the slowdown to the threshold.
   [[nodiscard]] double headroom(const Endpoint& endpoint) const;
-  // Nothing if no endpoint is current or none has load.
+  // Returns the averages of the fleet; nothing if no endpoint has both current load data and a load.
   [[nodiscard]] std::optional<FleetAverages> averages(const EndpointMap& endpoints, Time now) const;
 
-  // The usual time between two reports of one endpoint.
+  // Returns the typical time between two reports of one endpoint.
   [[nodiscard]] Duration report_interval() const;
-  // Successful attempts a second of a fully utilized endpoint, per unit of listed capacity; 0 while unknown.
+  // Returns the successful attempts per second of a fully utilized endpoint, for each unit of listed
+  // capacity; 0 while unknown.
   [[nodiscard]] double rate_per_capacity() const { return rate_per_capacity_; }
-  // Relative capacity by listed capacity.
-  [[nodiscard]] const std::map<double, double>& capacity_by_size() const { return capacity_by_size_; }
+  // Returns the relative capacity that endpoints of equal listed capacity share; the key is the listed
+  // capacity.
+  [[nodiscard]] const std::map<double, double>& relative_capacities() const { return relative_capacities_; }
 
  private:
-  struct CapacitySample {  // sums over endpoints
-    double full_rate = 0;  // successful attempts a second at full utilization
+  // Sums over several endpoints.
+  struct CapacitySample {
+    double full_utilization_rate = 0;  // successful attempts per second at full utilization
     double listed_capacity = 0;
   };
-  [[nodiscard]] bool tells_capacity(const Endpoint& endpoint, const SlowStart& slow_start, Time now) const;
-  // A sample's rate per listed capacity over the fleet's.
-  [[nodiscard]] static double over_mean(double full_rate, double listed_capacity,
-                                        const CapacitySample& fleet);
+  [[nodiscard]] bool has_capacity_sample(const Endpoint& endpoint, const SlowStart& slow_start,
+                                         Time now) const;
+  // Returns the rate for each unit of listed capacity, relative to that of the fleet, within the bounds of a
+  // relative capacity.
+  [[nodiscard]] static double relative_to_fleet(double full_utilization_rate, double listed_capacity,
+                                                const CapacitySample& fleet);
 
   const Settings& settings_;
-  Duration tightest_objective_ = Duration::max();
-  double mean_interval_ = 0;  // ms between two reports of one endpoint, smoothed; 0: none yet
+  Duration min_latency_objective_ = Duration::max();
+  double mean_report_interval_ms_ = 0;  // time between two reports of one endpoint, smoothed; 0: unknown
   double rate_per_capacity_ = 0;
-  std::map<double, double> capacity_by_size_;
+  std::map<double, double> relative_capacities_;
 };
 
 }  // namespace beamshunt
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -9,20 +9,22 @@
 namespace beamshunt {
 namespace {
 
-// False-positive probability below which a run of failures is evidence.
+// False-positive probability below which a series of failures is evidence.
 constexpr double kFalsePositiveProbability = 0.001;
-// Report periods without a success that make failures the sign of a dead endpoint.
+// Report periods without a success after which failures indicate a failed endpoint.
 constexpr int kPeriodsWithoutSuccess = 2;
-// Part of the listed capacity that has to stay: beyond it, ejections would do more harm than the endpoints.
-constexpr double kMinCapacityLeft = 0.4;
-// First ejection; each relapse doubles it, so that an endpoint that keeps failing is tried ever more rarely.
-constexpr Duration kFirstEjection{3000};
-// Doublings, at most: a repaired endpoint is back within half a minute.
-constexpr int kEjectionDoublings = 3;
-// Health checks in a row that count: one may be lost or late by chance.
-constexpr int kHealthChecksInARow = 2;
+// Fraction of the listed capacity that must remain; further ejections would do more harm than the failing
+// endpoints.
+constexpr double kMinRemainingCapacity = 0.4;
+// Time of the first ejection. Each further ejection doubles it, so that an endpoint that keeps failing is
+// tried less often.
+constexpr Duration kBaseEjectionTime{3000};
+// Maximum number of doublings, so that a repaired endpoint is readmitted within half a minute.
+constexpr int kMaxEjectionDoublings = 3;
+// Consecutive health checks that are evidence; a single check may be lost or late by chance.
+constexpr int kRequiredHealthCheckStreak = 2;
 
-// The log texts are kept in flight records and compared at replay: they stay byte for byte.
+// Flight records store the log texts and replay compares them, so the texts must not change.
 constexpr const char* kAttemptsFailText = ", tries fail, seen from ";
 constexpr const char* kHealthChecksFailText = ", no probe answered, seen from ";
 
@@ -36,18 +38,19 @@
 }
 
 void OutlierDetector::apply(const HealthCheckResult& result, Endpoint& endpoint) {
-  int& run = endpoint.health_check_run;
-  run = result.outcome == AttemptOutcome::success ? std::max(run, 0) + 1 : std::min(run, 0) - 1;
+  int& streak = endpoint.health_check_streak;
+  streak = result.outcome == AttemptOutcome::success ? std::max(streak, 0) + 1 : std::min(streak, 0) - 1;
 }
 
 OutlierDetector::LocalityView OutlierDetector::view_from(Locality from, const EndpointMap& endpoints) {
   LocalityView view;
   for (const auto& [id, endpoint] : endpoints) {
     if (!endpoint.available()) continue;
-    // 60% of the available capacity may be ejected, less what already is.
-    double counted = is_ejected(endpoint, from) ? -kMinCapacityLeft : 1 - kMinCapacityLeft;
-    view.ejectable_capacity += endpoint.listed.capacity * counted;
-    view.health_checks_answered |= endpoint.listed.locality == from && endpoint.health_check_run > 0;
+    // Up to 60% of the available capacity may be ejected, including the endpoints that are already ejected.
+    double ejectable_fraction =
+        is_ejected(endpoint, from) ? -kMinRemainingCapacity : 1 - kMinRemainingCapacity;
+    view.ejectable_capacity += endpoint.listed.capacity * ejectable_fraction;
+    view.health_checks_answered |= endpoint.listed.locality == from && endpoint.health_check_streak > 0;
     auto path = endpoint.paths.find(from);
     if (path == endpoint.paths.end() || path->second.ejected) continue;
     view.failed += path->second.failed;
@@ -56,8 +59,8 @@
   return view;
 }
 
-std::vector<LogMessage> OutlierDetector::judge(Locality from, EndpointMap& endpoints,
-                                               Duration report_interval, Time now) const {
+std::vector<LogMessage> OutlierDetector::evaluate(Locality from, EndpointMap& endpoints,
+                                                  Duration report_interval, Time now) const {
   std::vector<LogMessage> messages;
   LocalityView view = view_from(from, endpoints);
   for (auto& [id, endpoint] : endpoints) {
@@ -67,58 +70,67 @@
       readmit_if_due(from, endpoint, path, now);
       continue;
     }
-    double others = view.attempts - path.attempts();
-    double others_fail_share = others > 0 ? (view.failed - path.failed) / others : 0;
-    Evidence found = evidence(from, endpoint, path, view, others_fail_share, report_interval, now);
-    if (found == Evidence::none) continue;
-    if (others_fail_share > kCommonFailShare) continue;
+    double other_attempts = view.attempts - path.attempts();
+    double other_endpoints_failure_ratio =
+        other_attempts > 0 ? (view.failed - path.failed) / other_attempts : 0;
+    Evidence evidence =
+        find_evidence(from, endpoint, path, view, other_endpoints_failure_ratio, report_interval, now);
+    if (evidence == Evidence::none) continue;
+    if (other_endpoints_failure_ratio > kCommonFailureRatio) continue;
     if (endpoint.listed.capacity > view.ejectable_capacity) continue;
     view.ejectable_capacity -= endpoint.listed.capacity;
     eject(endpoint, path, now);
-    const char* reason = found == Evidence::health_checks_fail ? kHealthChecksFailText : kAttemptsFailText;
+    const char* reason =
+        evidence == Evidence::failing_health_checks ? kHealthChecksFailText : kAttemptsFailText;
     messages.push_back(
         {"eject " + std::to_string(index_of(id)) + reason + settings_.localities[index_of(from)]});
   }
   return messages;
 }
 
-OutlierDetector::Evidence OutlierDetector::evidence(Locality from, const Endpoint& endpoint, const Path& path,
-                                                    const LocalityView& view, double others_fail_share,
-                                                    Duration report_interval, Time now) const {
-  // Two periods and the usual interval, but two intervals at the least: a large fleet reports seldom.
-  Duration report_due = std::max(kPeriodsWithoutSuccess * settings_.report_period + report_interval,
-                                 kPeriodsWithoutSuccess * report_interval);
-  // Health checks may expire at an endpoint that is only overloaded: they count where a report that was due
-  // did not come. That others of the locality answer shows that the network between is not at fault.
-  bool silent = view.health_checks_answered && endpoint.listed.locality == from &&
-                endpoint.health_check_run <= -kHealthChecksInARow && path.last_report > kLongAgo &&
-                now - path.last_success >= report_due;
-  if (silent) return Evidence::health_checks_fail;
-  Duration without_success = path.last_report - path.last_success;
-  if (without_success < kPeriodsWithoutSuccess * settings_.report_period) return Evidence::none;
-  if (path.failed >= kMinFailures) return Evidence::attempts_fail;
-  // A few attempts a second fade before they are many: what counts is how many failed in a row, and how
-  // unlikely that would be of an endpoint that fails like the others.
-  bool unlikely = path.failed_since_success >= kMinFailures && without_success >= report_due &&
-                  std::pow(others_fail_share, path.failed_since_success) < kFalsePositiveProbability;
-  return unlikely ? Evidence::attempts_fail : Evidence::none;
+OutlierDetector::Evidence OutlierDetector::find_evidence(Locality from, const Endpoint& endpoint,
+                                                         const Path& path, const LocalityView& view,
+                                                         double other_endpoints_failure_ratio,
+                                                         Duration report_interval, Time now) const {
+  // A report is due after two periods plus the typical report interval, and after at least two intervals,
+  // because reports are rare in a large fleet.
+  Duration report_deadline = std::max(kPeriodsWithoutSuccess * settings_.report_period + report_interval,
+                                      kPeriodsWithoutSuccess * report_interval);
+  // Health checks may time out at an endpoint that is only overloaded, so they count only if an expected
+  // report is missing too. The answers of other endpoints in the locality show that the network is not at
+  // fault.
+  bool unresponsive = view.health_checks_answered && endpoint.listed.locality == from &&
+                      endpoint.health_check_streak <= -kRequiredHealthCheckStreak &&
+                      path.last_report > kDistantPast && now - path.last_success >= report_deadline;
+  if (unresponsive) return Evidence::failing_health_checks;
+  Duration time_without_success = path.last_report - path.last_success;
+  if (time_without_success < kPeriodsWithoutSuccess * settings_.report_period) return Evidence::none;
+  if (path.failed >= kMinFailures) return Evidence::failing_attempts;
+  // At a few attempts per second, the counts decay before they reach the minimum. In that case the evidence
+  // is the number of consecutive failures and its probability at the failure ratio of the other endpoints.
+  bool improbable =
+      path.failed_since_success >= kMinFailures && time_without_success >= report_deadline &&
+      std::pow(other_endpoints_failure_ratio, path.failed_since_success) < kFalsePositiveProbability;
+  return improbable ? Evidence::failing_attempts : Evidence::none;
 }
 
 void OutlierDetector::readmit_if_due(Locality from, Endpoint& endpoint, Path& path, Time now) const {
   if (now < path.ejected_until) return;
-  if (settings_.health_checks_allowed && endpoint.health_check_run < kHealthChecksInARow) return;
-  Path fresh;
-  fresh.ejections = path.ejections;
-  path = fresh;
-  // An endpoint that its own locality had ejected may have restarted unseen: it starts slowly.
+  if (settings_.health_checks_allowed && endpoint.health_check_streak < kRequiredHealthCheckStreak) return;
+  Path readmitted;
+  readmitted.ejection_count = path.ejection_count;
+  path = readmitted;
+  // An endpoint that was ejected in its own locality may have restarted without notice, so slow start applies
+  // to it.
   if (from == endpoint.listed.locality) endpoint.readmitted_at = now;
 }
 
 void OutlierDetector::eject(Endpoint& endpoint, Path& path, Time now) {
   path.ejected = true;
-  path.ejected_until = now + kFirstEjection * std::exp2(std::min(path.ejections, kEjectionDoublings));
-  ++path.ejections;
-  endpoint.health_check_run = std::min(endpoint.health_check_run, 0);
+  path.ejected_until =
+      now + kBaseEjectionTime * std::exp2(std::min(path.ejection_count, kMaxEjectionDoublings));
+  ++path.ejection_count;
+  endpoint.health_check_streak = std::min(endpoint.health_check_streak, 0);
 }
 
 std::vector<SendHealthCheck> OutlierDetector::due_health_checks(const EndpointMap& endpoints) const {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,21 +1,23 @@
-// Outlier detection: ejection, readmission, and the health checks to send.
+// Outlier detection: ejection and readmission of endpoints, and the health checks to send.
 //
-// Questions: why is an endpoint ejected for a locality's proxies, and when does it return? Which endpoints
-// need a health check?
-// Inputs: attempts by path (fading counts, failures since the last success), health check results in a row,
-// the time between reports (ms), listed capacities.
+// Questions: When is an endpoint ejected for the proxies of a locality, and when is it readmitted? Which
+// endpoints need a health check?
+// Inputs: attempts by path (decaying counts, and failures since the last success), consecutive health check
+// results, the time between reports (ms), and listed capacities.
 // Rules:
-//  - ejected if attempts fail and none succeeded for two periods: enough failures by the fading count, or a
-//    run of failures whose false-positive probability at the others' failure rate is below one in a thousand;
-//  - ejected in its own locality, too, if health checks fail that others there answer and a due report is
-//    missing;
-//  - never while the others fail as well (a common cause), and never so that less than 40% of the listed
-//    capacity is left;
-//  - readmitted after 3 s, doubled for each earlier ejection since the endpoint's start (24 s at most), and,
-//    where health checks are allowed, only after two successes in a row; a new start time in the endpoint
-//    list lifts an ejection at once.
-// Reason: a hung endpoint returns no answers, so no latency shows it, and load balancing alone would keep it.
-// It never judges an endpoint by its latency and never changes weights.
+//  - An endpoint is ejected if attempts fail and none succeeded for two periods. The evidence is either
+//    enough failures by the decaying count, or a series of failures whose false-positive probability at the
+//    failure ratio of the other endpoints is below 0.001.
+//  - An endpoint is also ejected in its own locality if its health checks fail while other endpoints there
+//    answer theirs, and an expected report is missing.
+//  - No endpoint is ejected while the other endpoints fail too (a common cause), or if less than 40% of the
+//    listed capacity would remain.
+//  - An endpoint is readmitted after 3 s, doubled for each earlier ejection since the endpoint's start (at
+//    most 24 s). Where health checks are allowed, it also needs two consecutive successful health checks. A
+//    new start time in the endpoint list ends an ejection at once.
+// Reason: A hung endpoint returns no responses, so its latency does not show the fault, and load balancing
+// alone would keep it in use.
+// Never: Outlier detection never ejects an endpoint because of its latency and never changes weights.
 #pragma once
 
 #include <vector>
@@ -26,38 +28,42 @@
 
 namespace beamshunt {
 
-// Whether proxies of locality `from` may not use the endpoint: ejected on their path or in its own locality.
+// Returns whether proxies of locality `from` must not use the endpoint, because it is ejected on their path
+// or in its own locality.
 [[nodiscard]] bool is_ejected(const Endpoint& endpoint, Locality from);
 
 class OutlierDetector {
  public:
-  // `settings` must outlive it.
+  // `settings` must outlive this object.
   explicit OutlierDetector(const Settings& settings) : settings_(settings) {}
 
-  // Counts successes or failures in a row.
+  // Counts consecutive successful or failed health checks.
   static void apply(const HealthCheckResult& result, Endpoint& endpoint);
 
-  // Judges all endpoints as the proxies of `from` see them; ejects and readmits. `report_interval`: the usual
-  // time between two reports of one endpoint. Returns a log message for each ejection.
-  [[nodiscard]] std::vector<LogMessage> judge(Locality from, EndpointMap& endpoints, Duration report_interval,
-                                              Time now) const;
+  // Ejects and readmits endpoints for the proxies of locality `from`, based on the attempts of these proxies.
+  // `report_interval` is the typical time between two reports of one endpoint. Returns a log message for each
+  // ejection.
+  [[nodiscard]] std::vector<LogMessage> evaluate(Locality from, EndpointMap& endpoints,
+                                                 Duration report_interval, Time now) const;
 
-  // Each available endpoint where load reports come by no other way; else only the ejected ones.
+  // Returns a health check for each ejected endpoint, and for each available endpoint whose load reports come
+  // only with health checks.
   [[nodiscard]] std::vector<SendHealthCheck> due_health_checks(const EndpointMap& endpoints) const;
 
  private:
-  struct LocalityView {                   // one locality's view of all endpoints
-    double failed = 0;                    // attempts on the paths that are not ejected
-    double attempts = 0;                  // the same
+  // Sums over all endpoints as seen by the proxies of one locality.
+  struct LocalityView {
+    double failed = 0;                    // failed attempts on paths that are not ejected
+    double attempts = 0;                  // attempts on paths that are not ejected
     double ejectable_capacity = 0;        // listed capacity that may still be ejected
-    bool health_checks_answered = false;  // by an endpoint of the locality
+    bool health_checks_answered = false;  // true: an endpoint of the locality answered one
   };
-  enum class Evidence { none, attempts_fail, health_checks_fail };
+  enum class Evidence { none, failing_attempts, failing_health_checks };
 
   [[nodiscard]] static LocalityView view_from(Locality from, const EndpointMap& endpoints);
-  [[nodiscard]] Evidence evidence(Locality from, const Endpoint& endpoint, const Path& path,
-                                  const LocalityView& view, double others_fail_share,
-                                  Duration report_interval, Time now) const;
+  [[nodiscard]] Evidence find_evidence(Locality from, const Endpoint& endpoint, const Path& path,
+                                       const LocalityView& view, double other_endpoints_failure_ratio,
+                                       Duration report_interval, Time now) const;
   void readmit_if_due(Locality from, Endpoint& endpoint, Path& path, Time now) const;
   static void eject(Endpoint& endpoint, Path& path, Time now);
 
--- a/src/policy/proxy_registry.cpp
+++ b/src/policy/proxy_registry.cpp
@@ -9,12 +9,12 @@
 namespace beamshunt {
 namespace {
 
-// Weight of one report's arrivals: two reports make three quarters of a figure.
+// Weight of the arrivals in one report: two reports contribute three quarters of an estimate.
 constexpr double kArrivalSmoothing = 0.5;
-// Proxies that may be summed for each event: while many register, demand changes under them, but a sum of all
-// for each of them would have no end.
-constexpr double kSummedProxiesPerEvent = 64;
-// Requests a second of a proxy of unknown rate, where no other's is known.
+// Proxies that may be summed for each event. The demand changes while many proxies register, but a sum over
+// all proxies for each registration would take quadratic time.
+constexpr double kMaxSummedProxiesPerEvent = 64;
+// Requests per second of a proxy with an unknown rate if no other rate is known.
 constexpr double kDefaultRate = 1;
 
 }  // namespace
@@ -49,7 +49,7 @@
   smooth(arrivals, report.arrivals / (report.interval / Duration(1000)), kArrivalSmoothing, arrivals < 0);
 }
 
-ProxyId ProxyRegistry::take_unassigned() {
+ProxyId ProxyRegistry::pop_unassigned() {
   ProxyId id = unassigned_.front();
   unassigned_.pop_front();
   return id;
@@ -65,17 +65,17 @@
   return limit < 0 ? arrivals : std::min(arrivals, limit);
 }
 
-void ProxyRegistry::add_admitted(const Proxy& proxy, ProxyGroup& group) const {
+void ProxyRegistry::add_admitted_rates(const Proxy& proxy, ProxyGroup& group) const {
   group.admitted.resize(settings_.classes.size());
   for (std::size_t c = 0; c < settings_.classes.size(); ++c) {
     group.admitted[c] += admitted_rate(proxy, &group, c);
   }
 }
 
-bool ProxyRegistry::demand_is_outdated(std::size_t events) {
+bool ProxyRegistry::demand_is_stale_after(std::size_t events) {
   events_since_sum_ += static_cast<double>(events);
   return any_unassigned() &&
-         events_since_sum_ * kSummedProxiesPerEvent >= static_cast<double>(proxies_.size());
+         events_since_sum_ * kMaxSummedProxiesPerEvent >= static_cast<double>(proxies_.size());
 }
 
 void ProxyRegistry::sum_demand(ProxyGroupMap& groups) {
--- a/src/policy/proxy_registry.h
+++ b/src/policy/proxy_registry.h
@@ -1,12 +1,15 @@
-// Registered proxies: their expected rates, arrivals, and the demand they make together.
+// The proxy registry: registered proxies, their expected and actual arrival rates, and their total demand.
 //
-// Questions: which proxies are there, and which still wait for their tables? How much do they admit?
-// Inputs: registrations with an expected rate and demand reports (requests, interval in ms).
-// Rules: a proxy of unknown rate counts as average. Arrivals are smoothed. A proxy admits its arrivals, at
-// most its published limit; before its first report, what it announced.
-// Reason: counted as idle, the load of proxies that register after a loss would seem not to need other
-// localities, and would stay on warming local endpoints (rule 4).
-// It never limits a proxy and never chooses its tables.
+// Questions: Which proxies are registered, and which of them have no tables yet? How many requests do they
+// admit?
+// Inputs: registrations with an expected rate (requests per second) and demand reports (requests, interval in
+// ms).
+// Rules: A proxy with an unknown rate counts with the average rate. Arrival rates are smoothed. A proxy
+// admits its arrival rate up to its published limit; before its first report, its expected rate stands for
+// the arrival rate.
+// Reason: Proxies that register after a loss would otherwise count as idle until their first report. Their
+// load would seem to fit into their own locality and would stay on warming local endpoints (rule 4).
+// Never: The registry never limits a proxy and never selects its tables.
 #pragma once
 
 #include <deque>
@@ -19,32 +22,36 @@
 
 class ProxyRegistry {
  public:
-  // `settings` must outlive it.
+  // `settings` must outlive this object.
   explicit ProxyRegistry(const Settings& settings) : settings_(settings), demand_(settings) {}
 
-  // The record of a new registration, among the proxies registered so far.
+  // Returns the record for a new registration. An unknown rate is set to the mean of the proxies registered
+  // so far.
   [[nodiscard]] Proxy make_proxy(const ProxyRegistered& event) const;
-  // Adds the proxy, as the last of those that wait for tables.
+  // Adds the proxy to the registry and to the end of the queue of unassigned proxies.
   void add(ProxyId id, Proxy proxy);
   void remove(ProxyId id) { proxies_.erase(id); }
-  // Null if the proxy is not registered.
+  // Returns null if the proxy is not registered. The pointer is valid until the proxy is removed.
   [[nodiscard]] Proxy* find(ProxyId id);
   [[nodiscard]] const ProxyMap& proxies() const { return proxies_; }
 
+  // Updates the arrival rate of the proxy. A report of an unknown proxy has no effect.
   void apply(const DemandReport& report);
 
-  // Whether proxies wait for tables. Some of them may have left since.
+  // Returns whether the queue of unassigned proxies is not empty. It may contain proxies that have
+  // disconnected.
   [[nodiscard]] bool any_unassigned() const { return !unassigned_.empty(); }
-  // Takes the one that waits longest.
-  ProxyId take_unassigned();
-
-  // Adds what an assigned proxy admits to its group.
-  void add_admitted(const Proxy& proxy, ProxyGroup& group) const;
-  // Counts the events of a batch; true while proxies wait for tables and enough events came for a new sum.
-  bool demand_is_outdated(std::size_t events);
-  // Sums what all proxies admit, by locality and by group.
+  // Removes and returns the proxy that has waited longest. The queue must not be empty.
+  ProxyId pop_unassigned();
+
+  // Adds the admitted rates of a newly assigned proxy to its group.
+  void add_admitted_rates(const Proxy& proxy, ProxyGroup& group) const;
+  // Counts the events of a batch. Returns true if proxies are unassigned and enough events arrived since the
+  // last sum of the demand to justify a new sum.
+  bool demand_is_stale_after(std::size_t events);
+  // Sums the admitted rates of all proxies by locality and by group.
   void sum_demand(ProxyGroupMap& groups);
-  // As of the last sum.
+  // Returns the demand at the last call of sum_demand().
   [[nodiscard]] const Demand& demand() const { return demand_; }
 
  private:
@@ -53,7 +60,7 @@
 
   const Settings& settings_;
   ProxyMap proxies_;
-  std::deque<ProxyId> unassigned_;  // in the order of registration
+  std::deque<ProxyId> unassigned_;  // queue in the order of registration
   Demand demand_;
   double events_since_sum_ = 0;
 };
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,14 +1,15 @@
-// Retries: when a proxy may retry a failed attempt, by class.
+// Retry policy: whether a proxy may retry a failed attempt, by request class.
 //
-// Question: which retry mode does a class get?
-// Inputs: the class's semantics, the fleet's mean slowdown (ratio) and failed part of attempts, the mean
-// utilization of localities (part of capacity), whether any class is limited.
-// Rule: never while failures are common; only with proof while the fleet is loaded or nothing is known yet;
-// once for idempotent classes otherwise.
-// Reasons: rule 2 (a request must not run twice) and retry storms. What fails everywhere finds no better
-// endpoint, so that a retry only adds load; retries would double what comes to warming endpoints (rule 4).
-// It never trusts idempotency keys: tables span cells, and a request could meet an endpoint that does not
-// know its key.
+// Question: Which retry mode does a class get?
+// Inputs: the semantics of the class; the mean slowdown of the fleet (ratio) and its ratio of failed
+// attempts; the mean utilization of the localities (fraction of capacity); whether any class is limited.
+// Rules: Retries are disabled while failures are common. They require proof while the fleet is loaded or
+// nothing is known about it. Otherwise, idempotent classes may retry once.
+// Reasons: The policy keeps rule 2 (a request must not be executed twice) and prevents retry storms. When all
+// endpoints fail, a retry finds no better endpoint and only adds load; retries would also double the load of
+// warming endpoints (rule 4).
+// Never: The policy never relies on idempotency keys, because tables span cells and a retry could reach an
+// endpoint that does not know the key.
 #pragma once
 
 #include <optional>
@@ -19,15 +20,16 @@
 namespace beamshunt {
 
 struct RetryInputs {
-  std::optional<FleetAverages> averages;  // nothing: no endpoint was reported lately
-  double mean_utilization = 1;            // of localities, 0 to 1
+  std::optional<FleetAverages> averages;  // nothing: no endpoint has current load data
+  double mean_utilization = 1;            // mean over the localities, 0 to 1
   bool any_class_limited = false;
 };
 
-// The mode while nothing is known: the configured default, but never a retry without proof (rule 2: what this
-// controller publishes is its own responsibility).
-[[nodiscard]] RetryMode cautious_retry_mode(const Settings& settings);
+// Returns the retry mode while nothing is known about the fleet: the configured default, restricted to
+// retries with proof (rule 2 applies to every mode that this controller publishes, including the default).
+[[nodiscard]] RetryMode conservative_retry_mode(const Settings& settings);
 
+// Returns the retry mode of the class.
 [[nodiscard]] RetryMode retry_mode(const RequestClass& request_class, const Settings& settings,
                                    const RetryInputs& inputs);
 
--- a/src/policy/shard_assignment.h
+++ b/src/policy/shard_assignment.h
@@ -1,13 +1,13 @@
-// Shard assignment: owners of shards, in sharded deployments.
+// Shard assignment: the owners of shards in sharded deployments.
 //
-// Question: which endpoint owns a shard?
+// Question: Which endpoint owns a shard?
 // Inputs: shards assigned to this controller and their present owners; endpoints with listed capacity
 // (relative) and slow-start factor; Settings::lease, lease_settle_time and max_update_delay (ms).
-// Rule: an owner that is not available any more loses the shard. A shard without an owner gets the available
-// endpoint with the fewest shards for its capacity, a warmed-up one first. Where a shard has a single writer,
-// it is stopped and moves once its former owner must have ended.
-// Reason: two writers of one shard would lose data, so a former owner's lease has to run out first.
-// It never moves a shard from an endpoint that is available.
+// Rules: An owner that is no longer available loses the shard. A shard without an owner gets the available
+// endpoint with the fewest shards relative to its capacity; warmed-up endpoints have precedence. A
+// single-writer shard is stopped and gets a new owner only when its former owner must have ended.
+// Reason: Two writers of one shard would lose data, so the lease of the former owner has to expire first.
+// Never: Shard assignment never moves a shard away from an available endpoint.
 #pragma once
 
 #include <map>
@@ -23,24 +23,25 @@
 
 class ShardAssignment {
  public:
-  // `settings` must outlive it.
+  // `settings` must outlive this object.
   explicit ShardAssignment(const Settings& settings) : settings_(settings) {}
 
   void apply(const ShardAssigned& event);
   void apply(const ShardOwnerReported& event);
 
-  // Removes owners that are gone and gives shards without one a new owner, as far as it is due.
+  // Removes owners that are not available, and assigns a new owner to each shard without an owner as soon as
+  // the new owner may start.
   [[nodiscard]] std::vector<Action> assign_owners(const EndpointMap& endpoints, const SlowStart& slow_start,
                                                   Time now);
 
  private:
   struct Shard {
     EndpointWeights owners;
-    bool stopped = false;  // a single-writer shard between two owners
-    Time move_at{};        // a new owner may start then
+    bool stopped = false;  // true: single-writer shard between two owners
+    Time reassign_at{};    // time from which a new owner may start
   };
-  void remove_lost_owners(TableId id, Shard& shard, const EndpointMap& endpoints, Time now,
-                          std::vector<Action>& actions) const;
+  void remove_unavailable_owners(TableId id, Shard& shard, const EndpointMap& endpoints, Time now,
+                                 std::vector<Action>& actions) const;
 
   const Settings& settings_;
   std::map<TableId, Shard> shards_;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -7,21 +7,23 @@
 namespace beamshunt {
 namespace {
 
-// Part of the warm-up time that a readmitted endpoint takes: it may have restarted unseen, or only been slow.
-constexpr double kReadmissionDivisor = 2;
-// Requests a second: keeps a quotient finite where there is no load.
+// Ratio of the warm-up time after a start to that after a readmission; a readmitted endpoint may have
+// restarted without notice, or may only have been slow.
+constexpr double kReadmissionWarmUpDivisor = 2;
+// Lower bound for the load in requests per second, which keeps the quotient finite.
 constexpr double kMinLoad = 1e-9;
 
 }  // namespace
 
 double SlowStart::factor(const Endpoint& endpoint, Time now) const {
   double initial = settings_.initial_capacity;
-  auto grown = [&](Time since, Duration over) {
-    return std::clamp(initial + (1 - initial) * ((now - since) / over), 0.0, 1.0);
+  auto linear_ramp = [&](Time since, Duration duration) {
+    return std::clamp(initial + (1 - initial) * ((now - since) / duration), 0.0, 1.0);
   };
-  double since_readmission = grown(endpoint.readmitted_at, settings_.warm_up_time / kReadmissionDivisor);
+  double since_readmission =
+      linear_ramp(endpoint.readmitted_at, settings_.warm_up_time / kReadmissionWarmUpDivisor);
   if (!endpoint.listed.start_time_known) return since_readmission;
-  return std::min(since_readmission, grown(endpoint.listed.start_time, settings_.warm_up_time));
+  return std::min(since_readmission, linear_ramp(endpoint.listed.start_time, settings_.warm_up_time));
 }
 
 double SlowStart::factor_under_overload(const Endpoint& endpoint, Time now) const {
@@ -29,17 +31,17 @@
   return guaranteed < 1 ? guaranteed * overload_factor_ : 1;
 }
 
-bool SlowStart::holds_back() const { return fleet_fail_share_ > kCommonFailShare; }
+bool SlowStart::withholds_traffic() const { return fleet_failure_ratio_ > kCommonFailureRatio; }
 
-void SlowStart::update_overload(double fail_share, double rate_per_capacity, const EndpointMap& endpoints,
+void SlowStart::update_overload(double failure_ratio, double rate_per_capacity, const EndpointMap& endpoints,
                                 const Demand& demand, Time now) {
-  fleet_fail_share_ = fail_share;
-  overload_factor_ = capacity_over_load(rate_per_capacity, endpoints, demand, now);
+  fleet_failure_ratio_ = failure_ratio;
+  overload_factor_ = capacity_to_load_ratio(rate_per_capacity, endpoints, demand, now);
 }
 
-// The endpoint list tells of lost capacity, and registrations of new load, before attempts fail.
-double SlowStart::capacity_over_load(double rate_per_capacity, const EndpointMap& endpoints,
-                                     const Demand& demand, Time now) const {
+// Capacity from the endpoint list and demand from registrations show an overload before attempts fail.
+double SlowStart::capacity_to_load_ratio(double rate_per_capacity, const EndpointMap& endpoints,
+                                         const Demand& demand, Time now) const {
   double load = 0;
   double capacity = 0;
   for (const auto& [id, endpoint] : endpoints) {
--- a/src/policy/subsetter.cpp
+++ b/src/policy/subsetter.cpp
@@ -8,19 +8,20 @@
 namespace beamshunt {
 namespace {
 
-// Expected rates within one band differ by at most this factor: a shared limit fits all of them.
+// Maximum ratio of two expected rates within one band, so that a shared limit suits all proxies of the band.
 constexpr double kBandRatio = 4;
-// Entries of a table, at least, however seldom its proxies send: some endpoints may fail.
-constexpr double kMinEntries = 8;
-// Subsetting rounds, that is, tables of a band that hold one endpoint: with two, subsets overlap, and the
-// load that one table's proxies bring can be balanced by another's.
-constexpr int kRounds = 2;
-// Passes that balance shared endpoints: further ones change little.
+// Minimum number of entries in a table, however rarely its proxies send, because some endpoints may fail.
+constexpr double kMinTableEntries = 8;
+// Number of subsetting rounds, which is also the number of tables of a band that contain one endpoint. With
+// two rounds the subsets overlap, and the entries of one table can balance the load of the proxies that use
+// another table.
+constexpr int kSubsettingRounds = 2;
+// Passes that balance shared endpoints; further passes change little.
 constexpr int kBalancingPasses = 3;
 
-// An order by a hash of the ids, for each locality by itself.
-ShuffledOrder shuffle(const EndpointWeights& weights, const EndpointMap& endpoints,
-                      std::uint32_t multiplier) {
+// Orders the endpoints of each locality by a hash of their ids.
+ShuffledOrder shuffle_by_hash(const EndpointWeights& weights, const EndpointMap& endpoints,
+                              std::uint32_t multiplier) {
   ShuffledOrder order;
   for (const auto& [id, weight] : weights) {
     order[endpoints.at(id).listed.locality].emplace_back(std::uint32_t(id) * multiplier, id);
@@ -29,9 +30,10 @@
   return order;
 }
 
-// Subset `index` of `count` equal ones of the order.
-EndpointWeights subset_of(const ShuffledOrder& order, const EndpointWeights& weights, std::size_t index,
-                          std::size_t count) {
+// Returns the weights of subset `index` (from 0) when each locality's order is cut into `count` equal
+// subsets.
+EndpointWeights subset_weights(const ShuffledOrder& order, const EndpointWeights& weights, std::size_t index,
+                               std::size_t count) {
   EndpointWeights subset;
   for (const auto& [locality, ids] : order) {
     std::size_t first = (index * ids.size() + count - 1) / count;
@@ -48,11 +50,12 @@
   return static_cast<int>(std::floor(std::log(expected_rate) / std::log(kBandRatio)));
 }
 
-int Subsetter::subsets_of_band(const ProxyGroupKey& key, const EndpointMap& endpoints) const {
-  // Entries that a proxy of the band's middle rate sends to before their connections idle out.
-  double kept_open =
+int Subsetter::subset_count_for_band(const ProxyGroupKey& key, const EndpointMap& endpoints) const {
+  // Number of endpoints to which a proxy with the middle rate of the band sends within the idle timeout of a
+  // connection.
+  double open_connections =
       std::pow(kBandRatio, key.rate_band + 0.5) * (settings_.connection_idle_timeout / Duration(1000));
-  double fitting =
+  double max_entries_by_queue =
       settings_.max_queued_lines / std::max(1, settings_.proxy_count) - settings_.message_overhead_lines;
   double all = 0;
   double local = 0;
@@ -61,21 +64,22 @@
     all += 1;
     if (endpoint.listed.locality == key.locality) local += 1;
   }
-  // A locality that lost its endpoints has no say: its tables hold remote ones.
-  double most_subsets = (local < kMinEntries ? all : local) / kMinEntries;
-  return static_cast<int>(std::min(all / std::max(1.0, std::min(kept_open, fitting)), most_subsets));
+  // A locality that lost its endpoints uses remote endpoints, so the count of all endpoints applies.
+  double max_subsets = (local < kMinTableEntries ? all : local) / kMinTableEntries;
+  return static_cast<int>(
+      std::min(all / std::max(1.0, std::min(open_connections, max_entries_by_queue)), max_subsets));
 }
 
-ProxyGroup& Subsetter::join(Proxy& proxy, ProxyGroupMap& groups, const EndpointMap& endpoints) {
+ProxyGroup& Subsetter::assign_subset(Proxy& proxy, ProxyGroupMap& groups, const EndpointMap& endpoints) {
   const ProxyGroupKey& key = proxy.group;
-  ProxyGroup& first = groups[{key.locality, key.rate_band, 0}];
-  if (first.tables.empty()) {
-    int subsets = subsets_of_band(key, endpoints);
-    if (subsets > 1) first.subset_count = kRounds * subsets;
+  ProxyGroup& first_group = groups[{key.locality, key.rate_band, 0}];
+  if (first_group.tables.empty()) {
+    int subsets = subset_count_for_band(key, endpoints);
+    if (subsets > 1) first_group.subset_count = kSubsettingRounds * subsets;
   }
   auto& rates = subset_rates_[{key.locality, key.rate_band}];
-  for (int subset = static_cast<int>(rates.size()); subset < first.subset_count; ++subset) {
-    groups[{key.locality, key.rate_band, subset}].subset_count = first.subset_count;
+  for (int subset = static_cast<int>(rates.size()); subset < first_group.subset_count; ++subset) {
+    groups[{key.locality, key.rate_band, subset}].subset_count = first_group.subset_count;
     rates.emplace(0, subset);
   }
   proxy.group.subset = rates.begin()->second;
@@ -89,18 +93,19 @@
   rates.emplace(group.expected_rate, key.subset);
 }
 
-const LocalityWeights* Subsetter::find(Locality own, bool local_only) const {
+const LocalityWeights* Subsetter::find_locality_weights(Locality own, bool local_only) const {
   auto found = locality_weights_.find({own, local_only});
   return found == locality_weights_.end() ? nullptr : &found->second;
 }
 
-const LocalityWeights& Subsetter::store(Locality own, bool local_only, EndpointWeights weights,
-                                        const EndpointMap& endpoints) {
+const LocalityWeights& Subsetter::store_locality_weights(Locality own, bool local_only,
+                                                         EndpointWeights weights,
+                                                         const EndpointMap& endpoints) {
   LocalityWeights& stored = locality_weights_[{own, local_only}];
   stored.weights = std::move(weights);
   stored.rounds.clear();
-  for (std::uint32_t round = 0; round < kRounds; ++round) {
-    stored.rounds.push_back(shuffle(stored.weights, endpoints, kHashMultiplier + 2 * round));
+  for (std::uint32_t round = 0; round < kSubsettingRounds; ++round) {
+    stored.rounds.push_back(shuffle_by_hash(stored.weights, endpoints, kHashMultiplier + 2 * round));
   }
   return stored;
 }
@@ -108,10 +113,10 @@
 EndpointWeights Subsetter::table_weights(const ProxyGroupKey& key, const ProxyGroup& group,
                                          const LocalityWeights& locality) {
   if (group.subset_count <= 1) return locality.weights;
-  const ShuffledOrder& order = locality.rounds[index_of(key.subset) % kRounds];
-  std::size_t index = index_of(key.subset) / kRounds;
-  std::size_t count = index_of(group.subset_count) / kRounds;
-  EndpointWeights subset = subset_of(order, locality.weights, index, count);
+  const ShuffledOrder& order = locality.rounds[index_of(key.subset) % kSubsettingRounds];
+  std::size_t index = index_of(key.subset) / kSubsettingRounds;
+  std::size_t count = index_of(group.subset_count) / kSubsettingRounds;
+  EndpointWeights subset = subset_weights(order, locality.weights, index, count);
   return subset.empty() ? locality.weights : subset;
 }
 
@@ -137,19 +142,19 @@
     for (const auto& [id, weight] : *table.weights) load[id] += table.admitted * weight / sum;
   }
   std::map<Locality, double> locality_load;
-  std::map<Locality, double> locality_due;
+  std::map<Locality, double> locality_target;
   for (const auto& [id, endpoint_load] : load) {
     const Endpoint& endpoint = fleet.endpoints.at(id);
     locality_load[endpoint.listed.locality] += endpoint_load;
-    locality_due[endpoint.listed.locality] += due_load(endpoint, fleet);
+    locality_target[endpoint.listed.locality] += target_load(endpoint, fleet);
   }
   for (const WeightedTable& table : tables) {
     for (auto& [id, weight] : *table.weights) {
-      bool loaded = load[id] > 0;  // false, too, for a table without any weight
+      bool loaded = load[id] > 0;  // false also for a table in which all weights are 0
       if (!loaded) continue;
       const Endpoint& endpoint = fleet.endpoints.at(id);
       Locality locality = endpoint.listed.locality;
-      weight *= due_load(endpoint, fleet) / locality_due[locality] * locality_load[locality] / load[id];
+      weight *= target_load(endpoint, fleet) / locality_target[locality] * locality_load[locality] / load[id];
     }
   }
 }
--- a/src/policy/subsetter.h
+++ b/src/policy/subsetter.h
@@ -1,15 +1,18 @@
-// Subsetting: which endpoints a proxy group's table holds, and which subset a proxy joins.
+// Subsetting: the endpoints in the table of a proxy group, and the subset that a proxy joins.
 //
-// Questions: how many tables do the proxies of a locality and rate band share? Which entries has each?
-// Inputs: expected rates (requests a second), the idle time after which proxies close connections (ms), the
-// queue limit of the update channel (lines), the weights of the locality.
-// Rule: a table holds no more entries than its proxies can keep connections open for, nor than lets all
-// proxies be assigned with one queue full of updates. Where that is less than all endpoints, each subsetting
-// round cuts the shuffled order of each locality's endpoints into subsets, one a table. A proxy joins the
-// subset with the least expected rate. Tables that share endpoints are then balanced: each entry is scaled by
-// its endpoint's due load over what all tables together would send to it.
-// Reason: connections that close for idleness make each request pay a handshake; rule 5 limits the queue.
-// It never moves a proxy that was assigned, and never changes an endpoint's own weight.
+// Questions: How many tables do the proxies of one locality and rate band share? Which entries does each
+// table have?
+// Inputs: expected rates (requests per second), the idle time after which proxies close connections (ms), the
+// queue limit of the update channel (lines), and the weights of the locality.
+// Rules: The number of entries in a table is at most the number of connections that its proxies can keep
+// open, and at most the number with which one full queue of updates assigns tables to all proxies. Where this
+// is less than the number of endpoints, each subsetting round cuts the shuffled order of each locality's
+// endpoints into subsets, one for each table. A proxy joins the subset with the lowest expected rate. Tables
+// that share endpoints are then balanced: each entry is scaled by its endpoint's target load / the load that
+// all tables together would send to it.
+// Reasons: If connections close because they are idle, each request needs a new handshake. Rule 5 limits the
+// queue.
+// Never: Subsetting never moves a proxy that was assigned and never changes an endpoint's own weight.
 #pragma once
 
 #include <cstdint>
@@ -24,54 +27,59 @@
 
 namespace beamshunt {
 
-// The rate band of a proxy: rates within one band differ by a small factor at most.
+// Returns the rate band of a proxy. Rates within one band differ by at most a small factor.
 [[nodiscard]] int rate_band(double expected_rate);
 
-// The endpoints of each locality, ordered by a hash of their ids.
+// The endpoints of each locality with the hashes of their ids, ordered by hash.
 using ShuffledOrder = std::map<Locality, std::vector<std::pair<std::uint32_t, EndpointId>>>;
 
-// What all tables of a locality share.
+// The weights and shuffled orders that all tables of a locality share.
 struct LocalityWeights {
   EndpointWeights weights;
-  std::vector<ShuffledOrder> rounds;  // one order a subsetting round
+  std::vector<ShuffledOrder> rounds;  // one order for each subsetting round
 };
 
 class Subsetter {
  public:
-  // `settings` must outlive it.
+  // `settings` must outlive this object.
   explicit Subsetter(const Settings& settings) : settings_(settings) {}
 
-  // Chooses the proxy's subset (it writes proxy.group.subset) and returns its group.
-  ProxyGroup& join(Proxy& proxy, ProxyGroupMap& groups, const EndpointMap& endpoints);
-  // Changes the expected rate of a group by `rate` requests a second, as a proxy comes or goes.
+  // Selects the proxy's subset, stores it in proxy.group.subset and returns the proxy's group.
+  ProxyGroup& assign_subset(Proxy& proxy, ProxyGroupMap& groups, const EndpointMap& endpoints);
+  // Changes the expected rate of a group by `rate` requests per second: positive when a proxy is added,
+  // negative when a proxy is removed.
   void add_expected_rate(const ProxyGroupKey& key, ProxyGroup& group, double rate);
 
-  // The locality's weights as last stored; null after clear(). Valid until then.
-  [[nodiscard]] const LocalityWeights* find(Locality own, bool local_only) const;
-  // Stores the locality's weights and shuffles its endpoints for each round.
-  const LocalityWeights& store(Locality own, bool local_only, EndpointWeights weights,
-                               const EndpointMap& endpoints);
-  void clear() { locality_weights_.clear(); }
+  // Returns the stored weights of the locality, or null if there are none. The pointer is valid until
+  // clear_locality_weights() is called.
+  [[nodiscard]] const LocalityWeights* find_locality_weights(Locality own, bool local_only) const;
+  // Stores the weights of the locality with a shuffled order of its endpoints for each subsetting round.
+  const LocalityWeights& store_locality_weights(Locality own, bool local_only, EndpointWeights weights,
+                                                const EndpointMap& endpoints);
+  void clear_locality_weights() { locality_weights_.clear(); }
 
-  // The entries of one group's table; all of the locality's where the subset would be empty.
+  // Returns the entries of one group's table: those of its subset, or all entries of the locality if the
+  // subset would be empty.
   [[nodiscard]] static EndpointWeights table_weights(const ProxyGroupKey& key, const ProxyGroup& group,
                                                      const LocalityWeights& locality);
 
-  // Scales the desired entries of all tables so that each endpoint gets its due load from all together.
+  // Scales the desired entries of all tables so that each endpoint gets its target load from all tables
+  // together.
   void balance_shared_endpoints(ProxyGroupMap& groups, const FleetView& fleet) const;
 
  private:
   struct WeightedTable {
-    double admitted = 0;  // requests a second of the proxies that use it
+    double admitted = 0;  // requests per second of the proxies that use the table
     EndpointWeights* weights = nullptr;
   };
-  [[nodiscard]] int subsets_of_band(const ProxyGroupKey& key, const EndpointMap& endpoints) const;
+  [[nodiscard]] int subset_count_for_band(const ProxyGroupKey& key, const EndpointMap& endpoints) const;
   static void balance_once(const std::vector<WeightedTable>& tables, const FleetView& fleet);
 
   const Settings& settings_;
-  // By locality and rate band: expected rate and index of each subset, the least loaded first.
+  // Expected rate and index of each subset, in ascending order of the rate. The key is the locality and rate
+  // band.
   std::map<std::pair<Locality, int>, std::set<std::pair<double, int>>> subset_rates_;
-  std::map<std::pair<Locality, bool>, LocalityWeights> locality_weights_;  // by local-only, too
+  std::map<std::pair<Locality, bool>, LocalityWeights> locality_weights_;  // key: locality, local-only
 };
 
 }  // namespace beamshunt
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -1,4 +1,4 @@
-// Identifiers, times and enumerations that the decision module's settings, events and actions share.
+// Identifiers, time types and enumerations used by the settings, events and actions of the decision module.
 #pragma once
 
 #include <chrono>
@@ -8,10 +8,10 @@
 
 namespace beamshunt {
 
-// Milliseconds.
+// A time span in milliseconds; fractions are allowed.
 using Duration = std::chrono::duration<double, std::milli>;
 
-// The simulator's or the machine's monotonic clock; its origin is arbitrary.
+// The monotonic clock of the host (the simulator or the machine). Its origin is arbitrary.
 struct Clock {
   using duration = Duration;
   using rep = duration::rep;
@@ -23,29 +23,30 @@
 
 enum class EndpointId : std::uint32_t {};
 enum class ProxyId : std::uint32_t {};
-// A weight table of one controller; the shard's number where the deployment is sharded.
+// Identifies a weight table of one controller. In a sharded deployment it is the number of a shard.
 enum class TableId : std::uint32_t {};
-// Position in Settings::localities.
+// Index into Settings::localities.
 enum class Locality : std::uint32_t {};
-// Position in Settings::classes.
+// Index into Settings::classes.
 enum class ClassId : std::uint32_t {};
-// The sum of 2^k over class positions k; 0 means all classes.
+// A set of request classes: bit k stands for ClassId k, and 0 stands for all classes.
 using ClassMask = std::uint64_t;
 
-// Whether a request may run more than once.
+// States whether a request may be executed more than once.
 enum class Semantics {
-  idempotent,           // safe to repeat anywhere
-  idempotent_with_key,  // safe to repeat within the key's scope and window
-  not_idempotent,       // must not run twice
+  idempotent,           // safe to repeat at any endpoint
+  idempotent_with_key,  // safe to repeat within the idempotency key's scope and window
+  not_idempotent,       // must not be executed twice
 };
 
-// Which endpoints recognise a request's idempotency key.
+// The endpoints that recognize the idempotency key of an earlier request.
 enum class IdempotencyScope { everywhere, locality, cell };
 
-// How a proxy enforces an admission limit: as a share of its requests, as requests a second, or not at all.
+// The unit of an admission limit: a share of the proxy's requests (0 to 1), requests per second at the proxy,
+// or none where proxies do not enforce limits.
 enum class AdmissionLimitKind { share, rate, none };
 
-// When a proxy may retry a failed attempt.
+// The condition under which a proxy may retry a failed attempt, and the maximum number of retries.
 enum class RetryMode {
   never = 0,
   if_not_processed = 1,  // only with proof that the first attempt was never processed
@@ -56,17 +57,17 @@
 enum class EndpointState { available, draining, removed };
 
 enum class EndpointListKind {
-  incremental,  // the entries that changed
-  complete,     // a snapshot: what it does not name is removed
-  cached,       // a list held from an earlier run, perhaps out of date
-  lost,         // the subscription broke or a fetch failed; no entries
+  incremental,  // only the entries that changed
+  complete,     // all endpoints: an endpoint that is not in the list counts as removed
+  cached,       // a list stored by an earlier run, possibly out of date
+  lost,         // no entries: the subscription ended or a fetch failed
 };
 
-// How one attempt or health check ended.
+// The result of one attempt or health check.
 enum class AttemptOutcome {
   success,
   application_error,
-  rejected,  // shed by the endpoint
+  rejected,  // load shedding by the endpoint
   timed_out,
   connect_failed,
   connection_lost,
@@ -74,7 +75,7 @@
   not_sent,
 };
 
-// Figures of an endpoint's load report by name, such as "utilization" (0 to 1).
+// The values of an endpoint's load report by name, such as "utilization" (0 to 1).
 using LoadReport = std::map<std::string, double>;
 
 }  // namespace beamshunt
--- a/src/policy/update_scheduler.h
+++ b/src/policy/update_scheduler.h
@@ -1,21 +1,21 @@
-// Update scheduling: what is published now.
+// Update scheduling: selects the updates that are published in a batch.
 //
-// Questions: which group's tables are updated in this reply, with which entries? May another proxy be
-// assigned?
-// Inputs: desired and published weights and limits, lines queued in the channel, messages in the window,
-// times of the last updates (ms).
+// Questions: Which tables are updated in this batch, and with which entries? May another proxy be assigned?
+// Inputs: desired and published weights and limits, lines queued in the channel, messages sent within the
+// window, and the times of the last updates (ms).
 // Rules:
-//  - entries that must go or at least halve (draining, removed, ejected, warming endpoints) and entries in
-//    their place are priority updates and go first; all else is ordinary and goes at most once a period;
-//  - priority updates, assignments and ordinary updates each may fill their part of the queue; a write stops
-//    where it is full and goes on later;
-//  - groups whose last ordinary update is longest ago are written first, for both kinds;
-//  - while a removal waits for lines in the channel, no proxy is assigned; while proxies wait, entries in
-//    place of removed ones wait, unless under half of a table is left.
-// Reasons: rules 3 (drains) and 4 (warm-up) can't wait for the ordinary pace; rule 5 limits the queue and the
-// messages. Where many proxies register as endpoints drain, assignments that fill the channel as it empties
-// would keep out the removals for all of them.
-// It never computes a weight or a limit.
+//  - Entries that must be removed or must decrease to half or less (of draining, removed, ejected or warming
+//    endpoints) and the entries that replace them are priority updates and are written first. All other
+//    updates are ordinary and are sent at most once in a period.
+//  - Priority updates, assignments and ordinary updates may each fill a fixed fraction of the queue. A write
+//    stops when its fraction is full and continues later.
+//  - For both kinds, groups are written in the order of their last ordinary update, oldest first.
+//  - While a removal waits for lines in the channel, no proxy is assigned. While proxies wait for assignment,
+//    replacement entries wait too, unless less than half of a table remains.
+// Reasons: Drains (rule 3) and warm-up (rule 4) cannot wait for ordinary updates. Rule 5 limits the queue and
+// the messages. When many proxies register while endpoints drain, assignments that fill the channel as fast
+// as it empties would block the removals for all proxies.
+// Never: The scheduler never computes a weight or a limit.
 #pragma once
 
 #include <optional>
@@ -33,39 +33,42 @@
 
 struct UpdateRequest {
   UpdateKind kind = UpdateKind::ordinary;
-  double room = 0;                 // lines that may be added to each member's message
-  std::vector<ClassLimit> limits;  // desired, by class; a priority update needs none
-  bool proxies_wait = false;       // some are registered and not assigned yet
+  double available_lines = 0;           // maximum number of lines to add to each member's message
+  std::vector<ClassLimit> limits;       // desired limits by class; unused in a priority update
+  bool has_unassigned_proxies = false;  // true: registered proxies wait for assignment
 };
 
 class UpdateScheduler {
  public:
-  // Both must outlive it.
+  // Both parameters must outlive this object.
   UpdateScheduler(const Settings& settings, ChannelBudget& budget) : settings_(settings), budget_(budget) {}
 
-  // Begins a publication; the groups in the order in which they have to be written, for both kinds. Pointers
-  // stay valid until a group is added.
+  // Begins a publication. Returns the groups in the order in which updates of both kinds have to be written.
+  // The pointers are valid while the groups stay in `groups`.
   [[nodiscard]] std::vector<ProxyGroupMap::value_type*> begin_publication(ProxyGroupMap& groups);
 
-  // Lines that an update of the kind may add to each member's message now; nothing: the group has to wait. A
-  // priority update may be due without room (0), to find out whether a removal waits.
-  [[nodiscard]] std::optional<double> room(const ProxyGroup& group, UpdateKind kind, Time now);
+  // Returns the number of lines that an update of this kind may add to each member's message now, or nothing
+  // if the group has to wait. For a priority update the result may be 0: write_update() then only detects
+  // whether a removal waits.
+  [[nodiscard]] std::optional<double> available_lines(const ProxyGroup& group, UpdateKind kind, Time now);
 
-  // Writes what differs between desired and published, as far as there is room.
-  void write(const ProxyGroupKey& key, ProxyGroup& group, const UpdateRequest& request,
-             const FleetView& fleet, std::vector<Action>& actions);
+  // Appends the differences between desired and published state to `actions`, up to the available lines, and
+  // records them as published.
+  void write_update(const ProxyGroupKey& key, ProxyGroup& group, const UpdateRequest& request,
+                    const FleetView& fleet, std::vector<Action>& actions);
 
-  // Whether proxies may be assigned now: there is room, and no removal waits for some.
-  [[nodiscard]] bool may_assign(Time now) const;
+  // Returns whether proxies may be assigned now: the queue has room for assignments, and no removal waits for
+  // lines.
+  [[nodiscard]] bool can_assign_proxies(Time now) const;
 
-  // Gives the group the tables that its classes need.
+  // Creates the tables that the classes of the settings require and the group does not have yet.
   void create_tables(ProxyGroup& group);
   // Assigns the group's tables to the proxy.
-  void assign(ProxyId proxy, const ProxyGroup& group, std::vector<Action>& actions);
+  void assign_tables(ProxyId proxy, const ProxyGroup& group, std::vector<Action>& actions);
 
  private:
   void write_limits(ProxyGroup& group, const UpdateRequest& request, std::vector<Action>& update) const;
-  // True if any entry was removed.
+  // Returns whether any entry was removed.
   bool remove_entries(Locality own, Table& table, const UpdateRequest& request, const FleetView& fleet,
                       std::vector<Action>& update);
   static void set_entries(Table& table, const UpdateRequest& request, bool removed,
@@ -73,7 +76,7 @@
 
   const Settings& settings_;
   ChannelBudget& budget_;
-  bool removal_waits_for_lines_ = false;  // an entry had to go in the last publication and found no room
+  bool removal_deferred_ = false;  // the last publication had no lines left for a removal
   int next_table_ = 0;
 };
 
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,5 @@
-// Rule 2 (no request runs twice) and retry storms: when a class may retry.
+// Tests of the retry modes, which keep rule 2 (a request must not be executed twice) and prevent retry
+// storms.
 #include "policy/retry_policy.h"
 
 #include <gtest/gtest.h>
@@ -8,47 +9,47 @@
 namespace beamshunt::test {
 namespace {
 
-RetryMode mode_of(Semantics semantics, const RetryInputs& inputs) {
+RetryMode mode_for(Semantics semantics, const RetryInputs& inputs) {
   Settings settings = two_locality_settings();
   settings.default_retry_mode = RetryMode::twice;
   return retry_mode({.semantics = semantics}, settings, inputs);
 }
 
-RetryInputs calm() {
-  return {.averages = FleetAverages{.fail_share = 0, .slowdown = 1, .threshold = 3, .headroom = 0.5},
+RetryInputs healthy_fleet() {
+  return {.averages = FleetAverages{.failure_ratio = 0, .slowdown = 1, .threshold = 3, .headroom = 0.5},
           .mean_utilization = 0.5};
 }
 
-TEST(RetryPolicy, IdempotentClassesRetryOnceInACalmFleet) {
-  EXPECT_EQ(mode_of(Semantics::idempotent, calm()), RetryMode::once);
+TEST(RetryPolicy, AllowsOneRetryOfIdempotentClassesInAHealthyFleet) {
+  EXPECT_EQ(mode_for(Semantics::idempotent, healthy_fleet()), RetryMode::once);
 }
 
-TEST(RetryPolicy, OtherClassesRetryOnlyWithProof) {
-  EXPECT_EQ(mode_of(Semantics::not_idempotent, calm()), RetryMode::if_not_processed);
-  EXPECT_EQ(mode_of(Semantics::idempotent_with_key, calm()), RetryMode::if_not_processed);
+TEST(RetryPolicy, RequiresProofForClassesThatAreNotIdempotent) {
+  EXPECT_EQ(mode_for(Semantics::not_idempotent, healthy_fleet()), RetryMode::if_not_processed);
+  EXPECT_EQ(mode_for(Semantics::idempotent_with_key, healthy_fleet()), RetryMode::if_not_processed);
 }
 
-TEST(RetryPolicy, EachSignOfLoadAsksForProof) {
-  RetryInputs slow = calm();
+TEST(RetryPolicy, RequiresProofForEachIndicationOfLoad) {
+  RetryInputs slow = healthy_fleet();
   slow.averages->slowdown = 2.1;
-  RetryInputs utilized = calm();
+  RetryInputs utilized = healthy_fleet();
   utilized.mean_utilization = 0.81;
-  RetryInputs limited = calm();
+  RetryInputs limited = healthy_fleet();
   limited.any_class_limited = true;
   for (const RetryInputs& inputs : {slow, utilized, limited}) {
-    EXPECT_EQ(mode_of(Semantics::idempotent, inputs), RetryMode::if_not_processed);
+    EXPECT_EQ(mode_for(Semantics::idempotent, inputs), RetryMode::if_not_processed);
   }
 }
 
-// A retry storm: all endpoints fail, each retry adds load and fails as well.
-TEST(RetryPolicy, NothingIsRetriedWhileFailuresAreCommon) {
-  RetryInputs failing = calm();
-  failing.averages->fail_share = 0.21;
-  EXPECT_EQ(mode_of(Semantics::idempotent, failing), RetryMode::never);
+// Guards against a retry storm, in which all endpoints fail and each retry adds load and fails too.
+TEST(RetryPolicy, DisablesRetriesWhileFailuresAreCommon) {
+  RetryInputs failing = healthy_fleet();
+  failing.averages->failure_ratio = 0.21;
+  EXPECT_EQ(mode_for(Semantics::idempotent, failing), RetryMode::never);
 }
 
-TEST(RetryPolicy, AControllerThatKnowsNothingYetNeverRetriesWithoutProof) {
-  EXPECT_EQ(mode_of(Semantics::idempotent, {}), RetryMode::if_not_processed);
+TEST(RetryPolicy, RequiresProofWhileNothingIsKnownAboutTheFleet) {
+  EXPECT_EQ(mode_for(Semantics::idempotent, {}), RetryMode::if_not_processed);
 }
 
 }  // namespace
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,5 @@
-// Rule 4: an endpoint that is warming up may get only what it can do, also while the fleet is overloaded.
+// Tests of rule 4: the load of a warming endpoint stays within its capacity, even while the fleet is
+// overloaded.
 #include "policy/slow_start.h"
 
 #include <gtest/gtest.h>
@@ -19,33 +20,34 @@
   return result;
 }
 
-// A state in which one warmed-up endpoint of capacity 2 serves `admitted` requests a second.
-SlowStart at_publication(double fail_share, double admitted) {
+// Returns the state after a publication in which one warmed-up endpoint of capacity 2 serves `admitted`
+// requests per second, at 10 requests per second for each unit of capacity.
+SlowStart state_after_publication(double failure_ratio, double admitted) {
   SlowStart slow_start(kSettings);
   EndpointMap endpoints;
   endpoints[EndpointId(2)].listed = make_endpoint(2, 0);
   Demand demand(kSettings);
   demand.add(Locality(0), 0, admitted);
-  slow_start.update_overload(fail_share, 10, endpoints, demand, Time(Duration(100000)));
+  slow_start.update_overload(failure_ratio, 10, endpoints, demand, Time(Duration(100000)));
   return slow_start;
 }
 
 TEST(SlowStartFactor, GrowsLinearlyFromTheInitialCapacityOverTheWarmUpTime) {
   SlowStart slow_start(kSettings);
-  Endpoint fresh = started_at(100000);
-  EXPECT_DOUBLE_EQ(slow_start.factor(fresh, Time(Duration(100000))), 0.25);
-  EXPECT_DOUBLE_EQ(slow_start.factor(fresh, Time(Duration(108000))), 0.625);
-  EXPECT_DOUBLE_EQ(slow_start.factor(fresh, Time(Duration(116000))), 1);
-  EXPECT_DOUBLE_EQ(slow_start.factor(fresh, Time(Duration(200000))), 1);
+  Endpoint starting = started_at(100000);
+  EXPECT_DOUBLE_EQ(slow_start.factor(starting, Time(Duration(100000))), 0.25);
+  EXPECT_DOUBLE_EQ(slow_start.factor(starting, Time(Duration(108000))), 0.625);
+  EXPECT_DOUBLE_EQ(slow_start.factor(starting, Time(Duration(116000))), 1);
+  EXPECT_DOUBLE_EQ(slow_start.factor(starting, Time(Duration(200000))), 1);
 }
 
 TEST(SlowStartFactor, IsOneForAnEndpointThatStartedLongAgo) {
-  Endpoint old;
-  old.listed = make_endpoint(1, 0);
-  EXPECT_DOUBLE_EQ(SlowStart(kSettings).factor(old, Time(Duration(100000))), 1);
+  Endpoint running;
+  running.listed = make_endpoint(1, 0);
+  EXPECT_DOUBLE_EQ(SlowStart(kSettings).factor(running, Time(Duration(100000))), 1);
 }
 
-// An ejected endpoint may have restarted unseen, without a new start time in the list.
+// An ejected endpoint may have restarted without a new start time in the endpoint list.
 TEST(SlowStartFactor, GrowsOverHalfTheWarmUpTimeAfterReadmission) {
   Endpoint readmitted = started_at(0);
   readmitted.readmitted_at = Time(Duration(100000));
@@ -53,19 +55,19 @@
   EXPECT_DOUBLE_EQ(SlowStart(kSettings).factor(readmitted, Time(Duration(108000))), 1);
 }
 
-TEST(SlowStartUnderOverload, FallsWithCapacityOverLoadForWarmingEndpointsOnly) {
+TEST(SlowStartUnderOverload, ReducesTheFactorOfWarmingEndpointsByTheRatioOfCapacityToLoad) {
   Time now(Duration(108000));
-  // 2 units of capacity at 10 requests a second each, for 40 requests a second.
-  SlowStart overloaded = at_publication(0, 40);
+  // The capacity is 2 units at 10 requests per second; the load is 40 requests per second.
+  SlowStart overloaded = state_after_publication(0, 40);
   EXPECT_DOUBLE_EQ(overloaded.factor_under_overload(started_at(100000), now), 0.625 * 0.5);
   EXPECT_DOUBLE_EQ(overloaded.factor_under_overload(started_at(0), now), 1);
-  EXPECT_DOUBLE_EQ(at_publication(0, 10).factor_under_overload(started_at(100000), now), 0.625);
+  EXPECT_DOUBLE_EQ(state_after_publication(0, 10).factor_under_overload(started_at(100000), now), 0.625);
 }
 
-TEST(SlowStartUnderOverload, HoldsBackWhileFailuresAreCommonOrNothingIsKnown) {
-  EXPECT_TRUE(SlowStart(kSettings).holds_back());
-  EXPECT_TRUE(at_publication(0.21, 10).holds_back());
-  EXPECT_FALSE(at_publication(0.2, 10).holds_back());
+TEST(SlowStartUnderOverload, WithholdsTrafficWhileFailuresAreCommonOrNothingIsKnown) {
+  EXPECT_TRUE(SlowStart(kSettings).withholds_traffic());
+  EXPECT_TRUE(state_after_publication(0.21, 10).withholds_traffic());
+  EXPECT_FALSE(state_after_publication(0.2, 10).withholds_traffic());
 }
 
 }  // namespace
