--- a/src/policy/admission_control.cpp
+++ b/src/policy/admission_control.cpp
@@ -30,7 +30,9 @@
 
 }  // namespace
 
-double unlimited(AdmissionLimitKind kind) { return kind == AdmissionLimitKind::rate ? kUnlimitedRate : 1; }
+double unlimited_limit(AdmissionLimitKind kind) {
+  return kind == AdmissionLimitKind::rate ? kUnlimitedRate : 1;
+}
 
 AdmissionControl::AdmissionControl(const Settings& settings)
     : settings_(settings), rates_(settings.classes.size(), kNoLimit) {}
@@ -117,7 +119,7 @@
 
 double AdmissionControl::limit(const ProxyGroupKey& key, const ProxyGroup& group, std::size_t request_class,
                                const Demand& demand, const ProxyMap& proxies, const FleetView& fleet) {
-  double max_limit = unlimited(settings_.admission_limit_kind);
+  double max_limit = unlimited_limit(settings_.admission_limit_kind);
   if (settings_.admission_limit_kind == AdmissionLimitKind::none) return max_limit;
   bool local_only = settings_.classes[request_class].local_only;
   return std::min({max_limit, class_limit(group, request_class, demand, proxies),
--- a/src/policy/admission_control.h
+++ b/src/policy/admission_control.h
@@ -40,7 +40,7 @@
 constexpr double kUnlimitedRate = 1e6;
 
 // Returns the limit that admits all requests, in the unit of `kind`.
-[[nodiscard]] double unlimited(AdmissionLimitKind kind);
+[[nodiscard]] double unlimited_limit(AdmissionLimitKind kind);
 
 class AdmissionControl {
  public:
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -40,14 +40,14 @@
     consecutive_losses_ = 0;
     next_subscription_ = now + settings_.subscription_lifetime * kRenewalFraction;
   }
-  std::set<EndpointId> named_ids;
+  std::set<EndpointId> listed_ids;
   for (const ListedEndpoint& entry : list.entries) {
-    named_ids.insert(entry.id);
+    listed_ids.insert(entry.id);
     apply_entry(entry, relative_capacities);
   }
   if (list.kind == EndpointListKind::incremental) return true;
   for (auto& [id, endpoint] : endpoints_) {
-    if (!named_ids.contains(id)) endpoint.listed.state = EndpointState::removed;
+    if (!listed_ids.contains(id)) endpoint.listed.state = EndpointState::removed;
   }
   return true;
 }
--- a/src/policy/fleet_state.h
+++ b/src/policy/fleet_state.h
@@ -22,9 +22,9 @@
   return static_cast<std::size_t>(id);
 }
 
-// The path from the proxies of one locality to one endpoint, with the attempts on it. Health is tracked by path because a network
-// partition between localities makes endpoints fail for the proxies of one side only, while a failed endpoint
-// fails for its own locality too.
+// The path from the proxies of one locality to one endpoint, with the attempts on it. Health is tracked by
+// path because a network partition between localities makes endpoints fail for the proxies of one side only,
+// while a failed endpoint fails for its own locality too.
 struct Path {
   // Written by load_estimator.
   double succeeded = 0;  // attempts, decaying with the time that reports cover
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -16,7 +16,7 @@
 constexpr double kWeightGain = 0.3;
 // Fraction of the adjustment's exponent that remains after a step, so that an adjustment without cause decays
 // within seconds.
-constexpr double kAdjustmentDecay = 0.8;
+constexpr double kAdjustmentRetention = 0.8;
 // Bounds of the weight adjustment, so that slowdown alone neither removes all load from an endpoint nor
 // overloads it.
 constexpr double kMinAdjustment = 0.2;
@@ -41,7 +41,7 @@
     double confidence = successes / (successes + kConfidenceAttempts);
     bool in_dead_band = relative_slowdown < 1 + kDeadBand && relative_slowdown > 1 / (1 + kDeadBand);
     if (in_dead_band) relative_slowdown = 1;
-    double decayed = std::pow(endpoint.weight_adjustment, kAdjustmentDecay);
+    double decayed = std::pow(endpoint.weight_adjustment, kAdjustmentRetention);
     double step = std::pow(relative_slowdown, -kWeightGain * confidence);
     endpoint.weight_adjustment = std::clamp(decayed * step, kMinAdjustment, kMaxAdjustment);
   }
--- a/src/policy/locality_spillover.cpp
+++ b/src/policy/locality_spillover.cpp
@@ -11,8 +11,8 @@
 constexpr double kSpilloverUtilization = 0.7;
 // Exponent of the step of a local share, which makes most of the correction for the utilization in one step.
 constexpr double kSpilloverGain = 0.7;
-// Minimum fraction of the load that stays local. It keeps attempts at local endpoints, and a network
-// partition would otherwise find tables with remote endpoints only.
+// Minimum fraction of the load that stays local. With it, attempts at local endpoints continue, and no table
+// contains only remote endpoints, which would be unreachable during a network partition.
 constexpr double kMinLocalShare = 0.2;
 // Lower bound for a utilization, which keeps the power finite.
 constexpr double kMinUtilization = 0.01;
--- a/src/policy/shard_assignment.cpp
+++ b/src/policy/shard_assignment.cpp
@@ -67,7 +67,7 @@
     ++shard_counts[best->first];
     actions.emplace_back(SetWeight{id, best->first, 1});
     if (std::exchange(shard.stopped, false)) {
-      actions.emplace_back(SetAdmissionLimit{id, false, 0, unlimited(settings_.admission_limit_kind),
+      actions.emplace_back(SetAdmissionLimit{id, false, 0, unlimited_limit(settings_.admission_limit_kind),
                                              conservative_retry_mode(settings_)});
     }
   }
--- a/src/policy/update_scheduler.cpp
+++ b/src/policy/update_scheduler.cpp
@@ -15,7 +15,7 @@
 constexpr double kMinValue = 1e-9;
 // Fraction of its published weight to which an entry must decrease for a priority update, as after a restart
 // of its endpoint.
-constexpr double kPriorityDecrease = 0.5;
+constexpr double kPriorityDecreaseFraction = 0.5;
 // Fractions of the queue (Settings::max_queued_lines) that each kind of update may fill, so that there is
 // always room for the more urgent kinds.
 constexpr double kPriorityQueueFraction = 0.7;
@@ -107,7 +107,7 @@
 void UpdateScheduler::write_limits(ProxyGroup& group, const UpdateRequest& request,
                                    std::vector<Action>& update) const {
   group.published_limits.resize(settings_.classes.size());
-  double max_limit = unlimited(settings_.admission_limit_kind);
+  double max_limit = unlimited_limit(settings_.admission_limit_kind);
   for (std::size_t c = 0; c < settings_.classes.size(); ++c) {
     ClassLimit& published = group.published_limits[c];
     const ClassLimit& desired = request.limits[c];
@@ -149,7 +149,7 @@
     if (request.kind == UpdateKind::priority) {
       bool has_half_of_entries = 2 * table.published.size() >= table.desired.size();
       bool may_replace = removed && !(request.has_unassigned_proxies && has_half_of_entries);
-      bool decreases = published > 0 && weight <= published * kPriorityDecrease;
+      bool decreases = published > 0 && weight <= published * kPriorityDecreaseFraction;
       bool replaces = published <= 0 && may_replace;
       if (!decreases && !replaces) continue;
     }
