--- a/src/assignments/assignment_tables.cpp
+++ b/src/assignments/assignment_tables.cpp
@@ -33,10 +33,10 @@
 }
 
 void AssignmentTables::apply(const AssignTable& action, const WriteUpdate& write) {
-  auto registered = tables_of_proxy_.find(action.proxy);
-  if (registered == tables_of_proxy_.end()) return;  // it has disconnected since the decision
+  auto proxy_tables = tables_of_proxy_.find(action.proxy);
+  if (proxy_tables == tables_of_proxy_.end()) return;  // the proxy has disconnected since the decision
   ClassMask classes = action.classes != 0 ? action.classes : all_classes_;
-  std::erase_if(registered->second, [&](TableId used) {
+  std::erase_if(proxy_tables->second, [&](TableId used) {
     auto& proxies = tables_.at(used).proxies;
     auto user = proxies.find(action.proxy);
     user->second &= ~classes;
@@ -46,7 +46,7 @@
   });
   WeightTable& table = tables_[action.table];
   table.proxies[action.proxy] |= classes;
-  registered->second.insert(action.table);
+  proxy_tables->second.insert(action.table);
 
   write(action.proxy, TableAssigned{classes, action.table});
   for (const auto& [endpoint, weight] : table.weights)
@@ -69,14 +69,14 @@
   ClassMask classes = action.classes != 0 ? action.classes : all_classes_;
   AdmissionLimit limit{action.limit, action.retry_mode};
   auto& limits = action.all_tables ? limits_for_all_tables_ : tables_[action.table].limits;
-  for (std::uint32_t c = 0; (classes >> c) != 0; ++c)
-    if ((classes & mask_of(ClassId{c})) != 0) limits[ClassId{c}] = limit;
+  for (std::uint32_t index = 0; (classes >> index) != 0; ++index)
+    if ((classes & mask_of(ClassId{index})) != 0) limits[ClassId{index}] = limit;
 
   LimitChanged update{action.table, action.all_tables, classes, limit};
   if (action.all_tables) {
     for (const auto& [proxy, tables] : tables_of_proxy_) write(proxy, update);
   } else {
-    for (const auto& [proxy, used_for] : tables_[action.table].proxies) write(proxy, update);
+    for (const auto& [proxy, used_classes] : tables_[action.table].proxies) write(proxy, update);
   }
 }
 
@@ -88,15 +88,15 @@
 }
 
 std::optional<AdmissionLimit> AssignmentTables::effective_limit(TableId table, ClassId request_class) const {
-  std::optional<AdmissionLimit> own;
+  std::optional<AdmissionLimit> table_limit;
   if (auto found = tables_.find(table); found != tables_.end()) {
     auto limit = found->second.limits.find(request_class);
-    if (limit != found->second.limits.end()) own = limit->second;
+    if (limit != found->second.limits.end()) table_limit = limit->second;
   }
-  auto for_all = limits_for_all_tables_.find(request_class);
-  if (for_all == limits_for_all_tables_.end()) return own;
-  if (!own) return for_all->second;
-  return AdmissionLimit{std::min(own->limit, for_all->second.limit), own->retry_mode};
+  auto global_limit = limits_for_all_tables_.find(request_class);
+  if (global_limit == limits_for_all_tables_.end()) return table_limit;
+  if (!table_limit) return global_limit->second;
+  return AdmissionLimit{std::min(table_limit->limit, global_limit->second.limit), table_limit->retry_mode};
 }
 
 }  // namespace beamshunt::assignments
--- a/src/base/archive.h
+++ b/src/base/archive.h
@@ -1,9 +1,15 @@
-// Binary encoding of records, for state files and for frames on streams. One description of a record's fields
-// serves both directions. Integers and doubles are fixed width and big-endian; lengths and counts have 32
-// bits; a time is a double in the unit of its type. A type takes part by a free function that is found by its
-// namespace:
-// It never adds a version or a checksum: who stores a record writes its own version first and seals it
-// (file.h).
+// Binary encoding of records, for state files and for frames on streams. Integers and doubles are big-endian
+// and have a fixed width. Lengths and counts have 32 bits. A duration or a point in time is a double in the
+// unit of its type.
+//
+// A record type is supported if its namespace declares a function that passes all fields of the record to an
+// Encoder or a Decoder; argument-dependent lookup finds it, and it serves both directions:
+//
+//   template <typename Archive>
+//   void fields(Archive& archive, Point& point) { archive(point.x, point.y); }
+//
+// The encoding has neither a version nor a checksum. A caller that stores a record writes a version first and
+// frames the result with encode_record() of base/file.h, which adds a checksum.
 #pragma once
 
 #include <bit>
@@ -21,22 +27,24 @@
 
 namespace beamshunt::base {
 
-// Bytes that are not what an Encoder wrote for the same fields. what() says what was found and expected.
+// Thrown by Decoder for bytes that an Encoder can't have written for the same fields. what() describes the
+// mismatch.
 class DecodeError : public std::runtime_error {
  public:
-  DecodeError(std::size_t where, const std::string& reason) : std::runtime_error(reason), offset(where) {}
-  std::size_t offset;  // in bytes, from the start of the bytes given to the Decoder
+  DecodeError(std::size_t error_offset, const std::string& reason)
+      : std::runtime_error(reason), offset(error_offset) {}
+  std::size_t offset;  // position of the error in the decoder's input, in bytes
 };
 
-// Appends values to a buffer of its own.
+// Encodes values into a buffer that the encoder owns.
 class Encoder {
  public:
-  // Appends the values in their order.
+  // Appends the encoded values to the buffer, in the order of the arguments.
   template <typename... Ts>
   void operator()(const Ts&... values) {
     (put(values), ...);
   }
-  // Moves the bytes out; the encoder is empty afterwards.
+  // Returns the encoded bytes and leaves the encoder empty.
   std::string release() { return std::move(out_); }
   [[nodiscard]] const std::string& bytes() const { return out_; }
 
@@ -89,52 +97,57 @@
   template <typename T>
   requires std::is_class_v<T>
   void put(const T& record) {
-    fields(*this, const_cast<T&>(record));  // an encoder only reads; the one description is not const
+    // fields() has a non-const parameter because it also serves Decoder; an encoder only reads the record.
+    fields(*this, const_cast<T&>(record));
   }
 
   std::string out_;
 };
 
-// Reads values from bytes, which must outlive it. Every read is checked against what is left, and a count is
-// checked before memory is taken for it: four bytes of a damaged file or a hostile peer must not claim
-// gigabytes.
+// Decodes values from bytes that must outlive the decoder. Every read is checked against the remaining input.
+// A count is checked before memory is allocated for its items: four bytes of a damaged file or from a hostile
+// peer must not cause an allocation of gigabytes.
 class Decoder {
  public:
   explicit Decoder(std::string_view bytes) : bytes_(bytes) {}
 
-  // Reads the values in their order. Throws DecodeError; the values read up to there are changed.
+  // Decodes into the arguments, in their order. Throws DecodeError at the first value that can't be decoded;
+  // the arguments before it have changed by then.
   template <typename... Ts>
   void operator()(Ts&... values) {
     (get(values), ...);
   }
-  [[nodiscard]] std::size_t offset() const { return at_; }
-  [[nodiscard]] std::size_t remaining() const { return bytes_.size() - at_; }
-  // Throws DecodeError if bytes are left.
+  // The number of bytes read so far.
+  [[nodiscard]] std::size_t offset() const { return offset_; }
+  // The number of bytes not read yet.
+  [[nodiscard]] std::size_t remaining() const { return bytes_.size() - offset_; }
+  // Throws DecodeError unless the whole input has been read.
   void expect_end() const {
-    if (remaining() > 0) fail(std::to_string(remaining()) + " bytes too many");
+    if (remaining() > 0) fail(std::to_string(remaining()) + " unexpected bytes at the end");
   }
-  // Throws DecodeError at the present offset, for a value that the caller finds impossible.
-  [[noreturn]] void fail(const std::string& reason) const { throw DecodeError(at_, reason); }
+  // Throws DecodeError at the current offset; for a decoded value that the caller rejects.
+  [[noreturn]] void fail(const std::string& reason) const { throw DecodeError(offset_, reason); }
 
  private:
-  std::string_view raw(std::size_t size) {
-    if (size > remaining()) fail("ends " + std::to_string(size - remaining()) + " bytes early");
-    at_ += size;
-    return bytes_.substr(at_ - size, size);
-  }
-  std::size_t count() {
-    std::uint32_t n = 0;
-    get(n);
-    if (n > remaining())
-      fail("a count of " + std::to_string(n) + " in " + std::to_string(remaining()) + " bytes");
-    return n;
+  std::string_view read_bytes(std::size_t size) {
+    if (size > remaining()) fail("the input ends " + std::to_string(size - remaining()) + " bytes early");
+    offset_ += size;
+    return bytes_.substr(offset_ - size, size);
+  }
+  std::size_t read_count() {
+    std::uint32_t count = 0;
+    get(count);
+    if (count > remaining())
+      fail("a count of " + std::to_string(count) + " exceeds the remaining " + std::to_string(remaining()) +
+           " bytes");
+    return count;
   }
   template <std::integral T>
   void get(T& value) {
     std::uint64_t bits = 0;
-    for (char c : raw(sizeof(T))) bits = bits << 8 | static_cast<unsigned char>(c);
+    for (char c : read_bytes(sizeof(T))) bits = bits << 8 | static_cast<unsigned char>(c);
     if constexpr (std::same_as<T, bool>)
-      if (bits > 1) fail("a flag that is neither 0 nor 1");
+      if (bits > 1) fail("a flag is neither 0 nor 1");
     value = static_cast<T>(bits);
   }
   void get(double& value) {
@@ -149,7 +162,7 @@
     get(bits);
     value = static_cast<T>(bits);
   }
-  void get(std::string& text) { text = raw(count()); }
+  void get(std::string& text) { text = read_bytes(read_count()); }
   template <typename R, typename P>
   void get(std::chrono::duration<R, P>& d) {
     double value = 0;
@@ -170,12 +183,12 @@
   template <typename T>
   void get(std::vector<T>& items) {
     items.clear();
-    for (std::size_t n = count(); n > 0; --n) get(items.emplace_back());
+    for (std::size_t n = read_count(); n > 0; --n) get(items.emplace_back());
   }
   template <typename K, typename V>
   void get(std::map<K, V>& items) {
     items.clear();
-    for (std::size_t n = count(); n > 0; --n) {
+    for (std::size_t n = read_count(); n > 0; --n) {
       K key{};
       get(key);
       get(items[key]);
@@ -185,7 +198,7 @@
   void get(std::variant<Ts...>& choice) {
     std::uint8_t index = 0;
     get(index);
-    if (index >= sizeof...(Ts)) fail("a choice of kind " + std::to_string(index) + ", which is unknown");
+    if (index >= sizeof...(Ts)) fail("a variant has index " + std::to_string(index) + ", which is unknown");
     get_alternative(index, choice);
   }
   template <std::size_t K = 0, typename... Ts>
@@ -200,7 +213,7 @@
   void get(T& record) { fields(*this, record); }
 
   std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t offset_ = 0;
 };
 
 }  // namespace beamshunt::base
--- a/src/base/file.cpp
+++ b/src/base/file.cpp
@@ -13,13 +13,13 @@
 namespace beamshunt::base {
 namespace {
 
-constexpr std::size_t kReadBlockBytes = 65536;  // one read call; most state files fit
+constexpr std::size_t kReadBlockBytes = 65536;  // per read call; most state files fit into one block
 
 [[noreturn]] void fail(const std::string& operation, const std::string& path) {
   throw FileError(operation, path, errno);
 }
 
-// A descriptor that is closed at the end of its scope.
+// Owns a file descriptor and closes it on destruction.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -47,15 +47,15 @@
 void sync_parent_folder(const std::string& path) {
   std::string folder = std::filesystem::path(path).parent_path().string();
   if (folder.empty()) folder = ".";
-  Descriptor opened(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (!opened.is_open() || ::fsync(opened.get()) != 0) fail("sync", folder);
+  Descriptor descriptor(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  if (!descriptor.is_open() || ::fsync(descriptor.get()) != 0) fail("sync", folder);
 }
 
 }  // namespace
 
-FileError::FileError(const std::string& failed, const std::string& file, int errno_value)
-    : std::runtime_error("cannot " + failed + " " + file + ": " + std::strerror(errno_value)),
-      operation(failed),
+FileError::FileError(const std::string& failed_operation, const std::string& file, int errno_value)
+    : std::runtime_error("cannot " + failed_operation + " " + file + ": " + std::strerror(errno_value)),
+      operation(failed_operation),
       path(file),
       error_number(errno_value) {}
 
@@ -65,26 +65,26 @@
     if (errno == ENOENT) return std::nullopt;
     fail("open", path);
   }
-  std::string out;
+  std::string content;
   char block[kReadBlockBytes];
   while (true) {
-    ssize_t got = ::read(file.get(), block, sizeof block);
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) fail("read", path);
-    if (got == 0) return out;
-    out.append(block, static_cast<std::size_t>(got));
+    ssize_t read_size = ::read(file.get(), block, sizeof block);
+    if (read_size < 0 && errno == EINTR) continue;
+    if (read_size < 0) fail("read", path);
+    if (read_size == 0) return content;
+    content.append(block, static_cast<std::size_t>(read_size));
   }
 }
 
 void replace_file(const std::string& path, std::string_view bytes) {
-  std::string fresh = path + ".new";
+  std::string new_path = path + ".new";
   {
-    Descriptor file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
-    if (!file.is_open()) fail("create", fresh);
-    write_all(file, bytes, fresh);
-    if (::fsync(file.get()) != 0) fail("sync", fresh);
+    Descriptor file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644));
+    if (!file.is_open()) fail("create", new_path);
+    write_all(file, bytes, new_path);
+    if (::fsync(file.get()) != 0) fail("sync", new_path);
   }
-  if (::rename(fresh.c_str(), path.c_str()) != 0) fail("rename over", path);
+  if (::rename(new_path.c_str(), path.c_str()) != 0) fail("rename over", path);
   sync_parent_folder(path);
 }
 
@@ -97,10 +97,10 @@
 
 std::optional<std::string_view> read_record(std::string_view bytes, std::size_t& offset) {
   if (bytes.size() - offset < kRecordHeaderBytes) return std::nullopt;
-  Decoder seal(bytes.substr(offset, kRecordHeaderBytes));
+  Decoder header(bytes.substr(offset, kRecordHeaderBytes));
   std::uint32_t size = 0;
   std::uint64_t checksum = 0;
-  seal(size, checksum);
+  header(size, checksum);
   if (bytes.size() - offset - kRecordHeaderBytes < size) return std::nullopt;
   std::string_view payload = bytes.substr(offset + kRecordHeaderBytes, size);
   if (XXH3_64bits(payload.data(), payload.size()) != checksum) return std::nullopt;
--- a/src/base/file.h
+++ b/src/base/file.h
@@ -1,5 +1,5 @@
-// Files that hold state: read whole, replaced whole, and records that show damage. It never appends; who
-// keeps a log does that with sealed records of its own.
+// Files that store state: reading and atomically replacing whole files, and records whose checksum reveals
+// damage. Nothing here appends to a file; a package that keeps a log appends encoded records itself.
 #pragma once
 
 #include <optional>
@@ -9,38 +9,43 @@
 
 namespace beamshunt::base {
 
-// A call on a file that the operating system refused. what() reads "cannot <operation> <path>: <cause>".
+// Thrown if an operation on a file fails. what() reads "cannot <operation> <path>: <cause>".
 class FileError : public std::runtime_error {
  public:
-  // `failed`: the operation, as in "open" or "rename over"; `errno_value`: the errno that it left.
-  FileError(const std::string& failed, const std::string& file, int errno_value);
+  // `failed_operation` is a verb such as "open" or "rename over"; `errno_value` is the errno of the failed
+  // call.
+  FileError(const std::string& failed_operation, const std::string& file, int errno_value);
   std::string operation;
   std::string path;
   int error_number;
 };
 
-// The whole file; nothing if there is none. Throws FileError for any other failure.
+// Returns the content of the file, or nullopt if the file does not exist. Throws FileError for any other
+// failure.
 std::optional<std::string> read_file(const std::string& path);
 
-// Replaces `path` by `bytes`, durably: after it returns the new content is on disk, before that the old
-// content is. A kill at any instant leaves one of the two, whole: the new file is written beside the old one
-// as `path`.new, synced, renamed over it, and then the folder is synced. Throws FileError; the old content
-// stays.
+// Replaces the content of the file `path` by `bytes`, atomically and durably. If the process is killed at any
+// point, the file has either its old content or the new one, each complete: the new content is written to
+// `path`.new, synced and renamed over `path`, and then the folder is synced. When the function returns, the
+// new content is on disk. Throws FileError, and the old content stays.
 void replace_file(const std::string& path, std::string_view bytes);
 
-// Bytes before the payload of a sealed record: its length (4) and its XXH3 checksum (8).
+// Size of the header before the payload of a record: the payload's length (4 bytes) and its XXH3 checksum (8
+// bytes).
 constexpr std::size_t kRecordHeaderBytes = 12;
 
-// A record with its length and checksum before it, as state files and logs keep it.
+// Returns `payload` with a record header before it, the format of state files and logs.
 std::string encode_record(std::string_view payload);
 
-// The payload of the sealed record at `offset` of `bytes`; `offset` moves behind the record. Nothing if the
-// rest is torn or damaged or if there is no rest; `offset` stays. The payload points into `bytes`.
+// Returns the payload of the record at `offset` of `bytes` and advances `offset` to the end of the record.
+// The payload points into `bytes`. Returns nullopt, and leaves `offset` unchanged, if the record is
+// incomplete or damaged or if `offset` is the end of `bytes`.
 std::optional<std::string_view> read_record(std::string_view bytes, std::size_t& offset);
 
-// The offset of the first whole, non-empty record that begins after `offset`, where read_record() has failed.
-// Nothing if there is none: then the rest is the torn tail that a kill leaves in a log. If there is one, the
-// file is damaged in its middle, and reading on or cutting there would lose records in silence.
+// Returns the offset of the first intact, non-empty record that starts after `offset`, at which read_record()
+// has failed. Returns nullopt if there is none: the bytes from `offset` on are an incomplete last record, as
+// a killed process leaves it in a log. If there is such a record, the file is damaged before its end, and
+// skipping the damage or truncating the file at `offset` would silently lose records.
 std::optional<std::size_t> find_record_after(std::string_view bytes, std::size_t offset);
 
 }  // namespace beamshunt::base
--- a/src/base/memory.h
+++ b/src/base/memory.h
@@ -1,4 +1,4 @@
-// What the process takes of the machine.
+// Memory use of this process.
 #pragma once
 
 #include <sys/resource.h>
@@ -7,10 +7,11 @@
 
 namespace beamshunt::base {
 
-inline std::size_t peak_resident_bytes() {  // resident, since the process began
-  rusage use{};
-  getrusage(RUSAGE_SELF, &use);
-  return static_cast<std::size_t>(use.ru_maxrss) * 1024;
+// Returns the largest resident set size of this process since it started, in bytes.
+inline std::size_t peak_resident_bytes() {
+  rusage usage{};
+  getrusage(RUSAGE_SELF, &usage);
+  return static_cast<std::size_t>(usage.ru_maxrss) * 1024;
 }
 
 }  // namespace beamshunt::base
--- a/src/base/parse.h
+++ b/src/base/parse.h
@@ -1,4 +1,4 @@
-// Numbers from text: the whole text or nothing.
+// Parsing of numbers.
 #pragma once
 
 #include <charconv>
@@ -8,6 +8,9 @@
 
 namespace beamshunt::base {
 
+// Parses a number that fills the whole text, without white space around it. `base` is the base of an integer
+// (10 if not given) or the std::chars_format of a floating-point number. Returns nullopt if the text is
+// empty, is not a number, has further characters or does not fit into T.
 template <typename T, typename... Base>
 std::optional<T> parse_number(std::string_view text, Base... base) {
   T out{};
--- a/src/base/worker.h
+++ b/src/base/worker.h
@@ -1,4 +1,4 @@
-// A thread for what may block, such as disks: jobs in order, from a queue that is bounded in bytes.
+// A worker thread for blocking operations, such as disk writes.
 #pragma once
 
 #include <condition_variable>
@@ -9,26 +9,31 @@
 
 namespace beamshunt::base {
 
+// Runs jobs one after another on its own thread, in the order in which they were posted. The queue is bounded
+// by the memory that the jobs use.
 class Worker {
  public:
-  explicit Worker(std::size_t most_bytes) : most_(most_bytes), thread_([this] { work(); }) {}
-  ~Worker() {  // what is queued is still done
+  // `max_bytes` limits the total memory of the jobs that are queued or running.
+  explicit Worker(std::size_t max_bytes) : max_bytes_(max_bytes), thread_([this] { run_jobs(); }) {}
+  // Waits until all queued jobs have run.
+  ~Worker() {
     {
       std::lock_guard lock(mutex_);
-      ending_ = true;
+      stopping_ = true;
     }
-    wake_.notify_one();
+    wakeup_.notify_one();
     thread_.join();
   }
-  // False if the queue is full: the job is not taken. `bytes` is what it holds in memory.
+  // Queues a job. `bytes` is the memory that the job uses. Returns false, without queueing the job, if the
+  // limit would be exceeded. May be called from any thread.
   bool post(std::size_t bytes, std::function<void()> job) {
     {
       std::lock_guard lock(mutex_);
-      if (held_ + bytes > most_) return false;
-      held_ += bytes;
+      if (used_bytes_ + bytes > max_bytes_) return false;
+      used_bytes_ += bytes;
       jobs_.push_back({bytes, std::move(job)});
     }
-    wake_.notify_one();
+    wakeup_.notify_one();
     return true;
   }
 
@@ -37,25 +42,25 @@
     std::size_t bytes;
     std::function<void()> run;
   };
-  void work() {
+  void run_jobs() {
     std::unique_lock lock(mutex_);
     while (true) {
-      wake_.wait(lock, [this] { return ending_ || !jobs_.empty(); });
+      wakeup_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
       if (jobs_.empty()) return;
       Job job = std::move(jobs_.front());
       jobs_.pop_front();
       lock.unlock();
       job.run();
       lock.lock();
-      held_ -= job.bytes;
+      used_bytes_ -= job.bytes;
     }
   }
 
-  std::size_t most_, held_ = 0;
-  bool ending_ = false;
+  std::size_t max_bytes_, used_bytes_ = 0;
+  bool stopping_ = false;
   std::deque<Job> jobs_;
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable wakeup_;
   std::thread thread_;
 };
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// beamshunt: the command line.
+// beamshunt: command-line parsing and the command `serve`.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -8,10 +8,13 @@
 
 int main(int argc, char** argv) {
   using namespace beamshunt::cli;
-  CLI::App app{"beamshunt assigns servers to proxies: tables, levels and retry modes over an order channel."};
+  CLI::App app{
+      "beamshunt assigns servers to proxies: weight tables, admission limits and retry modes over an update "
+      "channel."};
   app.require_subcommand(1);
   app.footer(
-      "Exit codes: 0 well, 1 something looked for is broken, 2 could not run (one line says why).\n"
+      "Exit codes: 0 success, 1 a check has failed, 2 could not run (one line on standard error gives the "
+      "reason).\n"
       "Example: beamshunt day days/bad-day.cue");
   int result = kWell;
   auto parse = [&] {
@@ -27,24 +30,25 @@
   };
 
   std::vector<std::string> files;
-  std::string sabotage, configuration;
-  bool verbose = false, by_platform = false;
+  std::string violation, configuration;
+  bool verbose = false, use_platform = false;
   auto* serve_command = app.add_subcommand("serve", "run an assigner until SIGTERM");
-  auto* settings = serve_command->add_option("files", files, "settings, one file or several that unify");
-  auto* platform = serve_command->add_flag("--platform", by_platform,
-                                           "speak the platform's protocol, by the platform's configuration");
+  auto* settings =
+      serve_command->add_option("files", files, "settings: one or more files, which are unified");
+  auto* platform =
+      serve_command->add_flag("--platform", use_platform, "use the platform's protocol and configuration");
   serve_command->add_option("--configuration", configuration, "the platform's configuration, a JSON file")
       ->envname("BALANCER_CONFIG")
       ->needs(platform);
-  serve_command->add_flag("--verbose", verbose, "log each second what is known of each endpoint")
+  serve_command->add_flag("--verbose", verbose, "log the known state of each endpoint every second")
       ->needs(platform);
   settings->excludes(platform);
-  serve_command->add_option("--sabotage", sabotage, "break a rule on purpose, for the audit's tests")
+  serve_command->add_option("--sabotage", violation, "deliberately violate a rule, for tests of the audit")
       ->group("");
   serve_command->footer("Example: beamshunt serve deploy/assigner.cue");
   serve_command->callback([&] {
-    if (!by_platform) {
-      result = serve(files, sabotage);
+    if (!use_platform) {
+      result = serve(files, violation);
       return;
     }
     if (configuration.empty()) throw CLI::ValidationError("--configuration", "is not given");
@@ -59,8 +63,9 @@
 }
 
 #ifndef BEAMSHUNT_TOOLS
-// Built for the platform alone: its machines have no room for what the other fronts bring along.
+// A build without the tools serves the platform only: the libraries of the other commands do not fit on the
+// platform's machines.
 int beamshunt::cli::serve(const std::vector<std::string>&, const std::string&) {
-  throw std::runtime_error("this build serves with --platform alone");
+  throw std::runtime_error("this build supports only serve --platform");
 }
 #endif
--- a/src/health_check/http_outcome.h
+++ b/src/health_check/http_outcome.h
@@ -1,4 +1,4 @@
-// What the HTTP answer to a health check says of the endpoint, in the decision module's terms. Pure.
+// Maps the HTTP response to a health check to an outcome for the controller. It performs no I/O.
 #pragma once
 
 #include "http/server.h"
@@ -9,8 +9,8 @@
 constexpr int kOk = 200;
 constexpr int kServiceUnavailable = 503;
 
-// The outcome of one health check. A status other than 200 is an error of the application, but for 503: the
-// endpoint sheds load.
+// Returns the outcome of a health check. Status 200 is a success, and 503 a rejection: the endpoint sheds
+// load. Any other status is an application error.
 inline AttemptOutcome outcome_of(const http::Client::Answer& answer) {
   switch (answer.failure) {
     case http::Client::Failure::connect:
--- a/src/process/child.cpp
+++ b/src/process/child.cpp
@@ -20,22 +20,22 @@
 
 Child::Child(const std::string& program, std::vector<std::string> arguments, const std::string& log) {
   arguments.insert(arguments.begin(), program);
-  std::vector<char*> words;
-  words.reserve(arguments.size() + 1);
-  for (std::string& a : arguments) words.push_back(a.data());
-  words.push_back(nullptr);
+  std::vector<char*> argument_pointers;
+  argument_pointers.reserve(arguments.size() + 1);
+  for (std::string& argument : arguments) argument_pointers.push_back(argument.data());
+  argument_pointers.push_back(nullptr);
   pid_t parent = ::getpid();
   pid_ = ::fork();
   if (pid_ < 0) throw std::runtime_error("cannot start " + program + ": " + std::strerror(errno));
   if (pid_ > 0) return;
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != parent) ::_exit(127);  // it died in between
-  sigset_t none;
-  sigemptyset(&none);
-  ::sigprocmask(SIG_SETMASK, &none, nullptr);
-  int out = log.empty() ? -1 : ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  if (out >= 0) ::dup2(out, 1), ::dup2(out, 2);
-  ::execv(program.c_str(), words.data());
+  if (::getppid() != parent) ::_exit(127);  // the parent died before prctl() took effect
+  sigset_t no_signals;
+  sigemptyset(&no_signals);
+  ::sigprocmask(SIG_SETMASK, &no_signals, nullptr);
+  int log_file = log.empty() ? -1 : ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+  if (log_file >= 0) ::dup2(log_file, 1), ::dup2(log_file, 2);
+  ::execv(program.c_str(), argument_pointers.data());
   ::_exit(127);
 }
 
@@ -51,9 +51,9 @@
   if (pid_ >= 0) ::kill(pid_, number);
 }
 
-int Child::stop(double most_ms) {
+int Child::stop(double timeout_ms) {
   request_stop();
-  for (double limit = base::monotonic_ms() + most_ms; !has_exited() && base::monotonic_ms() < limit;)
+  for (double deadline = base::monotonic_ms() + timeout_ms; !has_exited() && base::monotonic_ms() < deadline;)
     ::usleep(2000);
   kill();
   return status_;
@@ -70,22 +70,23 @@
 
 double Child::cpu_seconds() const {
   std::ifstream in(fmt::format("/proc/{}/stat", pid_));
-  std::string all((std::istreambuf_iterator<char>(in)), {});
-  std::size_t name_ends = all.rfind(')');  // the name may hold anything, blanks too
-  if (name_ends == std::string::npos) return 0;
-  std::istringstream rest(all.substr(name_ends + 2));
-  std::string word;
+  std::string stat((std::istreambuf_iterator<char>(in)), {});
+  // The last ")" ends the program name, which may contain any character, including spaces and parentheses.
+  std::size_t name_end = stat.rfind(')');
+  if (name_end == std::string::npos) return 0;
+  std::istringstream rest(stat.substr(name_end + 2));
+  std::string field;
   double ticks = 0;
-  constexpr int kFirst = 3, kUser = 14, kSystem = 15;  // fields, as proc(5) counts them
-  for (int k = kFirst; rest >> word && k <= kSystem; ++k)
-    if (k == kUser || k == kSystem) ticks += std::stod(word);
+  constexpr int kFirstField = 3, kUserTime = 14, kSystemTime = 15;  // field numbers of proc(5)
+  for (int k = kFirstField; rest >> field && k <= kSystemTime; ++k)
+    if (k == kUserTime || k == kSystemTime) ticks += std::stod(field);
   return ticks / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
 double Child::resident_kib() const {
   std::ifstream in(fmt::format("/proc/{}/statm", pid_));
-  double all = 0, resident = 0;
-  in >> all >> resident;
+  double total = 0, resident = 0;
+  in >> total >> resident;
   return resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1024;
 }
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -8,13 +8,14 @@
 namespace {
 
 template <typename Id>
-Id find_name(const std::vector<std::string>& names, const char* what, std::string_view name) {
+Id find_name(const std::vector<std::string>& names, const char* subject, std::string_view name) {
   for (std::size_t i = 0; i < names.size(); ++i)
     if (names[i] == name) return static_cast<Id>(i);
-  throw InputError(what, "is not among the settings", name);
+  throw InputError(subject, "is not among the settings", name);
 }
 
-// Values by path, read as what a setting should be; every reader throws InputError naming the path.
+// Reads typed values by path. Each method throws InputError, with the path, if the setting is missing or its
+// value is not of the type; the methods with a default return that for a missing setting.
 class SettingsReader {
  public:
   explicit SettingsReader(const Values& values) : values_(values) {}
@@ -34,8 +35,8 @@
       throw InputError("setting " + key, "is not a number of 0 or more", word);
     return value;
   }
-  double number_or(const std::string& key, double otherwise) const {
-    return has(key) ? number(key) : otherwise;
+  double number_or(const std::string& key, double default_value) const {
+    return has(key) ? number(key) : default_value;
   }
   Duration duration(const std::string& key) const { return Duration(number(key)); }
   std::uint64_t count(const std::string& key, std::uint64_t max) const {
@@ -45,7 +46,9 @@
     return static_cast<std::uint64_t>(value);
   }
   bool flag(const std::string& key) const { return to_flag(key, text(key)); }
-  bool flag_or(const std::string& key, bool otherwise) const { return has(key) ? flag(key) : otherwise; }
+  bool flag_or(const std::string& key, bool default_value) const {
+    return has(key) ? flag(key) : default_value;
+  }
 
   std::vector<std::string> list(const std::string& key) const {
     std::vector<std::string> out;
@@ -95,11 +98,11 @@
   return request_class;
 }
 
-// Bounds of counts that the settings give.
+// Upper bounds of counts in the settings.
 constexpr std::uint64_t kMaxClasses = 63;        // a ClassMask holds 64 bits
-constexpr std::uint64_t kMaxShards = 65535;      // tables are numbered by 16 bits on the simulator's wire
-constexpr std::uint64_t kMaxCount = 1000000000;  // of proxies, controllers or messages
-constexpr std::uint64_t kMaxRetryMode = 3;       // the last value of RetryMode
+constexpr std::uint64_t kMaxShards = 65535;      // table numbers have 16 bits in the simulator's protocol
+constexpr std::uint64_t kMaxCount = 1000000000;  // largest count of proxies, controllers or messages
+constexpr std::uint64_t kMaxRetryMode = 3;       // numeric value of the last RetryMode
 
 std::vector<std::string> read_classes(const SettingsReader& reader, Settings& settings) {
   std::vector<std::string> names;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,7 +1,5 @@
-// Reads the settings that a controller starts with from path=value texts, whatever brought them: the
-// simulator's
-// first message or the platform's configuration. It builds without the program's libraries and performs
-// no I/O.
+// Parses the settings of a controller from path=value pairs, which come from the simulator's first message or
+// from the platform's configuration. This package needs no third-party library and performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +14,36 @@
 
 namespace beamshunt::settings {
 
-// An input that can't be used: what() says which item it is, what is wrong with it and, if there is one,
-// its value.
+// Thrown for input that can't be used. what() gives the setting or field, the problem and, if there is one,
+// the value.
 struct InputError : std::runtime_error {
   explicit InputError(const std::string& message) : std::runtime_error(message) {}
-  // `subject`: the setting or field; `problem`: what is wrong, such as "is not a number"; `text`: its value.
+  // `subject` is the setting or field, `problem` a predicate such as "is not a number", and `text` the value.
   InputError(std::string_view subject, std::string_view problem, std::string_view text)
       : std::runtime_error(std::string(subject) + " " + std::string(problem) + ": '" + std::string(text) +
                            "'") {}
 };
 
-// Names of localities and request classes, by position, as the settings give them.
+// The names of the localities and request classes in the settings. The index of a name is the numeric value
+// of its Locality or ClassId.
 struct Names {
   std::vector<std::string> localities;
   std::vector<std::string> classes;
 };
-// The position of a name. Throws InputError for a name that is not among the settings.
+// Returns the locality or request class with the given name. Throws InputError if the settings have no such
+// name.
 Locality find_locality(const Names& names, std::string_view name);
 ClassId find_request_class(const Names& names, std::string_view name);
 
-// Texts by path, such as "classes.0.slo".
+// Setting values by path, such as "classes.0.slo".
 using Values = std::map<std::string, std::string>;
 
-// Reads "path=value path=value". Throws InputError for a part that is not of this form.
+// Parses space-separated path=value pairs. If a path repeats, its last value counts. Throws InputError for a
+// part that is not of this form.
 Values parse_pairs(std::string_view text);
 
-// Reads the settings. Unknown paths are skipped. Throws InputError naming a needed path that is missing
-// or whose
-// value can't be used. Durations are in milliseconds.
+// Parses the settings. Durations are in milliseconds, and unknown paths are ignored. Throws InputError, with
+// the path, if a required path is missing or a value can't be used.
 std::pair<Settings, Names> parse(std::uint64_t seed, const Values& values);
 
 }  // namespace beamshunt::settings
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -10,14 +10,14 @@
 namespace beamshunt::simulator_adapter {
 namespace {
 
-// Bounds of the wire's numbers.
-constexpr std::uint64_t kMaxEndpoint = std::numeric_limits<std::uint32_t>::max();
-constexpr std::uint64_t kMaxSmallNumber = 65535;  // of proxies, tables and sequence numbers
+// Ranges of the numbers in the protocol.
+constexpr std::uint64_t kMaxUint32 = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint64_t kMaxUint16 = 65535;  // largest proxy, table or sequence number
 constexpr std::uint64_t kMaxToken = std::uint64_t{1} << 63;
-constexpr std::uint32_t kAllTables = 65535;  // the table number that stands for all tables
+constexpr std::uint32_t kAllTables = 65535;  // table number that stands for all tables
 
-[[noreturn]] void fail(const char* field, std::string_view what, std::string_view value) {
-  throw WireError(field, what, value);
+[[noreturn]] void fail(const char* field, std::string_view problem, std::string_view value) {
+  throw WireError(field, problem, value);
 }
 
 double to_number(const char* field, std::string_view word) {
@@ -58,9 +58,9 @@
   fail("state", "is unknown", word);
 }
 
-EndpointId read_endpoint(LineReader& line) { return EndpointId(line.whole("task", kMaxEndpoint)); }
-ProxyId read_proxy(LineReader& line) { return ProxyId(line.whole("agent", kMaxSmallNumber)); }
-TableId read_table(LineReader& line) { return TableId(line.whole("tbl", kMaxSmallNumber)); }
+EndpointId read_endpoint(LineReader& line) { return EndpointId(line.integer("task", kMaxUint32)); }
+ProxyId read_proxy(LineReader& line) { return ProxyId(line.integer("agent", kMaxUint16)); }
+TableId read_table(LineReader& line) { return TableId(line.integer("tbl", kMaxUint16)); }
 Duration read_duration(LineReader& line, const char* field) { return Duration(line.non_negative(field)); }
 
 }  // namespace
@@ -70,11 +70,11 @@
 std::string_view LineReader::text(const char* field) {
   if (!has_more_) throw WireError(std::string("field ") + field + " is missing");
   std::size_t space = rest_.find(' ');
-  std::string_view part = rest_.substr(0, space);
+  std::string_view value = rest_.substr(0, space);
   has_more_ = space != std::string_view::npos;
   rest_ = has_more_ ? rest_.substr(space + 1) : std::string_view{};
-  if (part.empty()) throw WireError(std::string("field ") + field + " is empty");
-  return part;
+  if (value.empty()) throw WireError(std::string("field ") + field + " is empty");
+  return value;
 }
 
 std::string_view LineReader::rest() {
@@ -98,7 +98,7 @@
   return value;
 }
 
-std::uint64_t LineReader::whole(const char* field, std::uint64_t max) {
+std::uint64_t LineReader::integer(const char* field, std::uint64_t max) {
   std::string_view word = text(field);
   std::uint64_t value = 0;
   auto [end, error] = std::from_chars(word.data(), word.data() + word.size(), value);
@@ -127,7 +127,7 @@
   return out;
 }
 
-LoadReport LineReader::load(const char* field) {
+LoadReport LineReader::load_report(const char* field) {
   LoadReport out;
   if (absent(field)) return out;
   std::string_view word = text(field);
@@ -143,8 +143,8 @@
   return out;
 }
 
-void LineReader::end() const {
-  if (has_more_) throw WireError("line has more fields than its message");
+void LineReader::expect_end() const {
+  if (has_more_) throw WireError("line has more fields than the message");
 }
 
 Time clock_time(double milliseconds) { return Time(Duration(milliseconds)); }
@@ -158,12 +158,12 @@
     endpoint.start_time = clock_time(ready_at);
   }
   endpoint.locality = settings::find_locality(names, line.text("site"));
-  line.text("shape");  // the kind of machine; its capacity says what matters
+  line.text("shape");  // the machine type, which is not needed: the capacity is a field of its own
   endpoint.state = parse_endpoint_state(line.text("state"));
   endpoint.capacity = line.absent("size") ? 1 : line.non_negative("size");
-  endpoint.cell = line.absent("bay") ? 0 : static_cast<std::uint32_t>(line.whole("bay", kMaxEndpoint));
+  endpoint.cell = line.absent("bay") ? 0 : static_cast<std::uint32_t>(line.integer("bay", kMaxUint32));
   endpoint.id = read_endpoint(line);
-  line.end();
+  line.expect_end();
   return endpoint;
 }
 
@@ -177,7 +177,7 @@
 
 namespace {
 
-// ---- Event lines: each reader takes the fields of one kind of message, in the wire's order ----
+// ---- Event lines: each function reads the fields of one message, in the order of the protocol ----
 
 Event read_endpoint_report(const Names& names, LineReader& line) {
   EndpointReport report;
@@ -187,7 +187,7 @@
   report.failed = line.non_negative("unanswered");
   report.mean_latency = read_duration(line, "duration");
   report.interval = read_duration(line, "span");
-  report.load = line.load("stats");
+  report.load = line.load_report("stats");
   return report;
 }
 
@@ -201,20 +201,20 @@
   return report;
 }
 
-Event read_timer(const Names&, LineReader& line) { return TimerFired{line.whole("handle", kMaxToken)}; }
+Event read_timer(const Names&, LineReader& line) { return TimerFired{line.integer("handle", kMaxToken)}; }
 
 Event read_health_check_result(const Names&, LineReader& line) {
   HealthCheckResult result;
   result.outcome = parse_outcome(line.text("reason"));
   result.endpoint = read_endpoint(line);
   result.duration = read_duration(line, "duration");
-  result.load = line.load("stats");
+  result.load = line.load_report("stats");
   return result;
 }
 
 Event read_peer_message(const Names&, LineReader& line) {
   PeerMessage message;
-  message.sender = static_cast<std::uint32_t>(line.whole("author", kMaxEndpoint));
+  message.sender = static_cast<std::uint32_t>(line.integer("author", kMaxUint32));
   message.payload = line.bytes("payload");
   return message;
 }
@@ -234,7 +234,7 @@
   UpdateAcknowledged acknowledged;
   acknowledged.proxy = read_proxy(line);
   acknowledged.delay = read_duration(line, "duration");
-  acknowledged.sequence_number = static_cast<std::uint32_t>(line.whole("serial", kMaxSmallNumber));
+  acknowledged.sequence_number = static_cast<std::uint32_t>(line.integer("serial", kMaxUint16));
   return acknowledged;
 }
 
@@ -256,11 +256,11 @@
 }
 
 Event read_shard_held(const Names&, LineReader& line) {
-  ShardHeld held;
-  held.shard = read_table(line);
-  held.endpoint = read_endpoint(line);
-  held.weight = line.non_negative("size");
-  return held;
+  ShardHeld shard_held;
+  shard_held.shard = read_table(line);
+  shard_held.endpoint = read_endpoint(line);
+  shard_held.weight = line.non_negative("size");
+  return shard_held;
 }
 
 }  // namespace
@@ -281,7 +281,7 @@
   auto reader = readers.find(line.name());
   if (reader == readers.end()) return std::nullopt;
   Event event = reader->second(names, line);
-  line.end();
+  line.expect_end();
   return event;
 }
 
@@ -291,7 +291,7 @@
 
 void put(std::string& out, std::uint64_t value) { out += ' ' + std::to_string(value); }
 void put(std::string& out, double value) {
-  std::array<char, 400> text;  // room for the longest fixed-notation double
+  std::array<char, 400> text;  // enough for any double in fixed notation
   auto [end, error] = std::to_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed);
   out += ' ';
   out.append(text.data(), end);
@@ -308,7 +308,7 @@
   }
 }
 
-// Writes one action behind its instance: the name first, then the fields in the wire's order.
+// Formats an action: the message name, the instance and the fields in the order of the protocol.
 struct ActionWriter {
   std::string& out;
   std::string_view instance;
@@ -323,28 +323,33 @@
   void text_line(const char* name, const std::string& text) {
     line(name);
     out += ' ';
-    for (char c : text) out += c == '\n' || c == '\r' ? ' ' : c;  // a text ends with its line
+    for (char c : text) out += c == '\n' || c == '\r' ? ' ' : c;  // a line break would end the message
   }
-  void operator()(const Subscribe& a) { line("OBSERVE", a.active); }
+  void operator()(const Subscribe& action) { line("OBSERVE", action.active); }
   void operator()(const FetchEndpoints&) { line("FETCH"); }
-  void operator()(const SetTimer& a) { line("SET_ALARM", a.deadline.time_since_epoch().count(), a.token); }
-  void operator()(const SendHealthCheck& a) { line("CHECK", a.endpoint); }
-  void operator()(const SendPeerMessage& a) {
+  void operator()(const SetTimer& action) {
+    line("SET_ALARM", action.deadline.time_since_epoch().count(), action.token);
+  }
+  void operator()(const SendHealthCheck& action) { line("CHECK", action.endpoint); }
+  void operator()(const SendPeerMessage& action) {
     line("SIGNAL");
-    if (a.to_all_peers) out += " *";
-    else put(out, std::uint64_t{a.peer});
-    put_bytes(out, a.payload);
+    if (action.to_all_peers) out += " *";
+    else put(out, std::uint64_t{action.peer});
+    put_bytes(out, action.payload);
+  }
+  void operator()(const SetWeight& action) { line("ENDPOINT", action.table, action.endpoint, action.weight); }
+  void operator()(const ClearTable& action) { line("RESET_TABLE", action.table); }
+  void operator()(const AssignTable& action) { line("POINT", action.classes, action.proxy, action.table); }
+  void operator()(const ExcludeEndpoint& action) { line("BENCH", action.endpoint, action.excluded); }
+  void operator()(const SetAdmissionLimit& action) {
+    line("ADMIT", action.all_tables ? TableId{kAllTables} : action.table, action.classes, action.limit,
+         action.retry_mode);
   }
-  void operator()(const SetWeight& a) { line("ENDPOINT", a.table, a.endpoint, a.weight); }
-  void operator()(const ClearTable& a) { line("RESET_TABLE", a.table); }
-  void operator()(const AssignTable& a) { line("POINT", a.classes, a.proxy, a.table); }
-  void operator()(const ExcludeEndpoint& a) { line("BENCH", a.endpoint, a.excluded); }
-  void operator()(const SetAdmissionLimit& a) {
-    line("ADMIT", a.all_tables ? TableId{kAllTables} : a.table, a.classes, a.limit, a.retry_mode);
+  void operator()(const AckRequest& action) {
+    line("BARRIER", std::uint64_t{action.sequence_number}, action.all_proxies);
   }
-  void operator()(const AckRequest& a) { line("BARRIER", std::uint64_t{a.sequence_number}, a.all_proxies); }
-  void operator()(const LogMessage& a) { text_line("REMARK", a.text); }
-  void operator()(const InvariantViolated& a) { text_line("PANIC", a.text); }
+  void operator()(const LogMessage& action) { text_line("REMARK", action.text); }
+  void operator()(const InvariantViolated& action) { text_line("PANIC", action.text); }
 };
 
 }  // namespace
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,4 @@
-// beamshunt_adapter: the simulator's wire on standard input and output.
+// beamshunt_adapter: runs controllers that the simulator drives over standard input and output.
 #include <exception>
 #include <iostream>
 
--- a/src/simulator_adapter/session.h
+++ b/src/simulator_adapter/session.h
@@ -1,5 +1,5 @@
-// The adapter's event loop: reads batches of events, has each instance's controller handle its own, and
-// writes the actions. It decides nothing.
+// Event loop of the simulator adapter. It reads batches of events, passes the events of each instance to its
+// controller and writes the controllers' actions. It makes no decisions itself.
 #pragma once
 
 #include <array>
@@ -16,19 +16,21 @@
 
 namespace beamshunt::simulator_adapter {
 
+// A connection to the simulator, with the controller instances that it has started.
 class Session {
  public:
-  // Both streams must outlive the session.
+  // Reads from `in` and writes to `out`; both streams must outlive the session.
   Session(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
-  // Runs until the input ends between two batches. Throws WireError on malformed input, at line_number().
+  // Handles batches until the input ends. Throws WireError if the input is malformed or ends within a batch.
   void run();
+  // Returns the number of the line read last, counted from 1; 0 before the first line.
   [[nodiscard]] std::uint64_t line_number() const { return line_number_; }
 
  private:
   struct Instance {
     Names names;
     Controller controller;
-    std::vector<Event> pending;  // this batch's events so far
+    std::vector<Event> pending;  // events of the current batch, not yet handled
   };
   bool next_line();
   void handle_batch();
@@ -43,10 +45,11 @@
   std::ostream& out_;
   std::string line_;
   std::uint64_t line_number_ = 0;
-  static constexpr std::size_t kListSlots = 16;  // by the wire: lists that instances may share
+  static constexpr std::size_t kListSlots = 16;  // given by the protocol; instances may share a list
   std::array<std::optional<EndpointRows>, kListSlots> endpoint_rows_;
   std::map<std::string, Instance, std::less<>> instances_;
-  std::vector<std::string> active_;  // instances with an event in this batch, in the order of their first
+  std::vector<std::string>
+      active_;  // instances with events in the current batch, in the order of their first event
 };
 
 }  // namespace beamshunt::simulator_adapter
--- a/tests/base/base_test.cpp
+++ b/tests/base/base_test.cpp
@@ -1,4 +1,4 @@
-// Records in files: what is torn or damaged is never read as something else.
+// Encoding, files and clock steps: incomplete or damaged data is detected and never decoded as other data.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,13 +14,13 @@
 namespace beamshunt::base {
 namespace {
 
-std::string scratch(const std::string& name) {
+std::string temporary_path(const std::string& name) {
   auto folder = std::filesystem::temp_directory_path() / ("beamshunt-test-" + std::to_string(::getpid()));
   std::filesystem::create_directories(folder);
   return (folder / name).string();
 }
 
-TEST(Archive, GivesBackWhatWasPut) {
+TEST(Archive, DecodesTheEncodedValues) {
   Encoder e;
   std::map<std::string, double> load{{"busy", 0.5}, {"queue", 7}};
   std::variant<int, std::string> choice = std::string("two");
@@ -46,16 +46,16 @@
   EXPECT_EQ(bytes.size(), 2u);
 }
 
-// Four damaged bytes of a count announce four thousand million items. The decoder refuses them before it
-// takes memory for them.
-TEST(Archive, ACountIsCheckedBeforeMemoryIsTaken) {
+// Four damaged bytes are read as a count of more than four billion items. The decoder must reject the count
+// before it allocates memory for the items.
+TEST(Archive, RejectsATooLargeCountBeforeAllocating) {
   Decoder d(std::string_view("\xff\xff\xff\xff", 4));
   std::vector<std::uint64_t> items;
   EXPECT_THROW(d(items), DecodeError);
 }
 
-// A record ends early, at any byte. It must not be read as a shorter or another record.
-TEST(Archive, EveryCutIsNoticed) {
+// Input that is truncated at any byte must not be decoded as a shorter or different record.
+TEST(Archive, RejectsTruncatedInput) {
   Encoder e;
   e(std::string("abc"), 5.0, std::vector<std::uint32_t>{1, 2, 3});
   for (std::size_t cut = 0; cut < e.bytes().size(); ++cut) {
@@ -67,9 +67,9 @@
   }
 }
 
-// The disk returns one changed byte, in the length, the checksum or the payload. The record is not read, and
-// the reader stays where it begins.
-TEST(Seal, EveryDamagedByteIsNoticed) {
+// The disk returns a record with one changed byte, in the length, the checksum or the payload. The record
+// must not be read, and the offset must stay at its beginning.
+TEST(EncodedRecord, RejectsEveryDamagedByte) {
   std::string whole = encode_record("some payload") + encode_record("another");
   std::size_t offset = 0;
   EXPECT_EQ(read_record(whole, offset), "some payload");
@@ -84,10 +84,10 @@
   }
 }
 
-// No file is an ordinary first start; a folder that is not there is an error that names the file and its
-// cause.
-TEST(File, MissingIsNothingAndReplacedIsWhole) {
-  std::string path = scratch("file");
+// A missing file is the normal case of a first start and not an error. A missing folder is an error that
+// names the file and the cause.
+TEST(File, ReadsNulloptIfMissingAndTheWholeContentAfterReplacement) {
+  std::string path = temporary_path("file");
   std::filesystem::remove(path);
   EXPECT_FALSE(read_file(path));
   replace_file(path, "first");
@@ -104,9 +104,10 @@
   }
 }
 
-// A writer is killed at instants of its own. The file is at all times one of the versions it wrote, whole.
-TEST(File, SurvivesKillAtAnyInstant) {
-  std::string path = scratch("killed");
+// A process is killed at arbitrary points while it replaces the file. The file must always hold one complete
+// version.
+TEST(File, IsCompleteAfterAKillAtAnyPoint) {
+  std::string path = temporary_path("killed");
   replace_file(path, encode_record("0"));
   for (int round = 0; round < 20; ++round) {
     pid_t child = ::fork();
@@ -124,24 +125,25 @@
   }
 }
 
-// A clock that steps is told from a process that is held up, whichever of its two readings is late.
-TEST(ClockStepDetector, AreToldFromALoopThatIsHeldUp) {
+// A delayed process must not be taken for a step of the wall clock, whether it is delayed between two samples
+// or between the clock readings of one sample.
+TEST(ClockStepDetector, DistinguishesStepsFromADelayedProcess) {
   ClockStepDetector clock;
   clock.sample(0, 1000, 0);
   clock.sample(20, 1020, 20.1);
-  clock.sample(900, 1900, 900);     // the loop was late: no step
-  clock.sample(920, 1920, 1850);    // held up between its readings: tells nothing
-  clock.sample(1870, 2870, 1870);   //
-  clock.sample(1890, 48890, 1890);  // 46 s on
-  clock.sample(1910, 48900, 1910);  // slewed
-  clock.sample(1930, 47920, 1930);  // a second back
+  clock.sample(900, 1900, 900);   // delayed between two samples: no step
+  clock.sample(920, 1920, 1850);  // delayed between its clock readings: ignored
+  clock.sample(1870, 2870, 1870);
+  clock.sample(1890, 48890, 1890);  // a step of 46 s forward
+  clock.sample(1910, 48900, 1910);  // slewed by 10 ms: no step
+  clock.sample(1930, 47920, 1930);  // a step of one second back
   ASSERT_EQ(clock.steps().size(), 2u);
   EXPECT_EQ(clock.steps()[0].offset, 46000);
   EXPECT_EQ(clock.steps()[1].offset, -1000);
   EXPECT_EQ(clock.forward_offset(2800, 48950), 46000);
-  EXPECT_EQ(clock.forward_offset(2880, 48880), 46000);  // both stamps within the two looks
-  EXPECT_EQ(clock.forward_offset(48890, 49500), 0);     // after it
-  EXPECT_EQ(clock.forward_offset(1000, 2870), 0);       // before it
+  EXPECT_EQ(clock.forward_offset(2880, 48880), 46000);  // between the samples that enclose the step
+  EXPECT_EQ(clock.forward_offset(48890, 49500), 0);     // after the step
+  EXPECT_EQ(clock.forward_offset(1000, 2870), 0);       // before the step
 }
 
 }  // namespace
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,4 @@
-// Log lines: one JSON object an event, repeats counted.
+// Log lines: one JSON object per event, and a limit on repeated events.
 #include "log/log.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace beamshunt::log {
 namespace {
 
-TEST(Log, ALineIsOneJsonObjectWhateverItsFieldsHold) {
+TEST(Log, WritesOneJsonObjectPerLineWhateverTheFieldsContain) {
   std::string line =
       json_line(Level::warning, "stream_refused", {{"peer", "a\n\"b\xff"}, {"reason", "r"}}, 3);
   EXPECT_EQ(line.find('\n'), std::string::npos);
@@ -18,7 +18,7 @@
   EXPECT_EQ(json["suppressed"], 3);
 }
 
-TEST(Log, RepeatsAreLimitedByEventAndCounted) {
+TEST(EventRateLimiter, LimitsEachEventSeparatelyAndCountsSuppressedLines) {
   EventRateLimiter limit(5);
   std::uint64_t suppressed = 0;
   int written = 0;
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The wire: every message, each kind of bad input, and the event loop over strings.
+// The simulator's protocol: every message, each kind of malformed input, and the event loop on strings.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -30,44 +30,44 @@
   std::string out, error;
   std::uint64_t line = 0;
 };
-Result play(const std::string& input) {
+Result run(const std::string& input) {
   std::istringstream in(input);
   std::ostringstream out;
   Session session(in, out);
-  Result r;
+  Result result;
   try {
     session.run();
   } catch (const WireError& e) {
-    r.error = e.what();
+    result.error = e.what();
   }
-  r.out = out.str();
-  r.line = session.line_number();
-  return r;
+  result.out = out.str();
+  result.line = session.line_number();
+  return result;
 }
-std::string error_of(const std::string& lines) { return play(kStart + "MARK 8500\n" + lines).error; }
+std::string error_of(const std::string& lines) { return run(kStart + "MARK 8500\n" + lines).error; }
 
-TEST(Session, AnswersEmptyBatchesAndEndsQuietlyAtTheEndOfInput) {
-  Result r = play("MARK 8412.25\nFLUSH\nMARK 8413\nFLUSH\n");
-  EXPECT_EQ(r.out, "NEXT\nNEXT\n");
-  EXPECT_EQ(r.error, "");
+TEST(Session, RepliesToEmptyBatchesAndReturnsAtTheEndOfInput) {
+  Result result = run("MARK 8412.25\nFLUSH\nMARK 8413\nFLUSH\n");
+  EXPECT_EQ(result.out, "NEXT\nNEXT\n");
+  EXPECT_EQ(result.error, "");
 }
 
-TEST(Session, StartsAnInstanceThatWatchesTheList) {
-  Result r = play(kStart);
-  EXPECT_EQ(r.error, "");
-  EXPECT_NE(r.out.find("OBSERVE assigner_3 1\n"), std::string::npos);
-  EXPECT_NE(r.out.find("SET_ALARM assigner_3 8912.25 0\n"), std::string::npos);
+TEST(Session, AStartedInstanceSubscribesToTheEndpointList) {
+  Result result = run(kStart);
+  EXPECT_EQ(result.error, "");
+  EXPECT_NE(result.out.find("OBSERVE assigner_3 1\n"), std::string::npos);
+  EXPECT_NE(result.out.find("SET_ALARM assigner_3 8912.25 0\n"), std::string::npos);
 }
 
-TEST(Session, BindsAJoiningProxyByClassMask) {
-  Result r = play(kStart + "MARK 8500\nSTREAM_UP assigner_3 41 north 6.5 1\nFLUSH\n");
-  EXPECT_EQ(r.error, "");
-  EXPECT_NE(r.out.find("POINT assigner_3 1 41 "), std::string::npos);
-  EXPECT_NE(r.out.find("POINT assigner_3 2 41 "), std::string::npos);
-  EXPECT_NE(r.out.find("BARRIER assigner_3 1 0\n"), std::string::npos);
+TEST(Session, AssignsTablesToARegisteredProxyByClassMask) {
+  Result result = run(kStart + "MARK 8500\nSTREAM_UP assigner_3 41 north 6.5 1\nFLUSH\n");
+  EXPECT_EQ(result.error, "");
+  EXPECT_NE(result.out.find("POINT assigner_3 1 41 "), std::string::npos);
+  EXPECT_NE(result.out.find("POINT assigner_3 2 41 "), std::string::npos);
+  EXPECT_NE(result.out.find("BARRIER assigner_3 1 0\n"), std::string::npos);
 }
 
-TEST(Session, ReadsEveryEvent) {
+TEST(Session, AcceptsEveryEvent) {
   EXPECT_EQ(error_of("STREAM_UP assigner_3 41 north - 0\n"
                      "STATS assigner_3 north 11 14 1 48.25 1000.0 utilization:0.62,backlog:3,novel:9\n"
                      "STATS assigner_3 south 12 1 1 0 1000.0 -\n"
@@ -86,43 +86,43 @@
             "");
 }
 
-TEST(Session, AListNumberMeansWhatItMeantWhenNamed) {
+TEST(Session, AListSlotIsResolvedWhenItIsReferenced) {
   std::string out =
-      play(kStart +
-           "MARK 8500\nSHEET 0 1\nROW - north big terminating 2 0 11\nENDPOINTS assigner_3 0 42 incr\n"
-           "SHEET 0 1\nROW - north big in_service 2 0 13\nENDPOINTS assigner_3 0 43 incr\n"
-           "STREAM_UP assigner_3 41 north 6.5 1\nFLUSH\n")
+      run(kStart +
+          "MARK 8500\nSHEET 0 1\nROW - north big terminating 2 0 11\nENDPOINTS assigner_3 0 42 incr\n"
+          "SHEET 0 1\nROW - north big in_service 2 0 13\nENDPOINTS assigner_3 0 43 incr\n"
+          "STREAM_UP assigner_3 41 north 6.5 1\nFLUSH\n")
           .out;
   EXPECT_EQ(out.find(" 11 2"), std::string::npos);
   EXPECT_NE(out.find("ENDPOINT assigner_3 0 13 2\n"), std::string::npos);
 }
 
-TEST(Session, AKilledInstanceSaysNothingAndCanStartAnew) {
-  Result r = play(kStart + "MARK 8500\nSTREAM_UP assigner_3 41 north 6.5 1\nDETACH assigner_3\nFLUSH\n");
-  EXPECT_EQ(r.out.find("POINT"), std::string::npos);
-  EXPECT_EQ(play(kStart + "MARK 8500\nDETACH assigner_3\nBELL assigner_3 1\nFLUSH\n").error,
+TEST(Session, ADetachedInstanceSendsNothingAndCanBeStartedAgain) {
+  Result result = run(kStart + "MARK 8500\nSTREAM_UP assigner_3 41 north 6.5 1\nDETACH assigner_3\nFLUSH\n");
+  EXPECT_EQ(result.out.find("POINT"), std::string::npos);
+  EXPECT_EQ(run(kStart + "MARK 8500\nDETACH assigner_3\nBELL assigner_3 1\nFLUSH\n").error,
             "instance is unknown: 'assigner_3'");
-  r = play(kStart + "MARK 8500\nDETACH assigner_3\nINIT assigner_3 7 " + kSettings +
-           "\nENDPOINTS assigner_3 0 1 warm_copy\nFLUSH\n");
-  EXPECT_EQ(r.error, "");
-  EXPECT_NE(r.out.rfind("OBSERVE assigner_3 1\n"), r.out.find("OBSERVE assigner_3 1\n"));
+  result = run(kStart + "MARK 8500\nDETACH assigner_3\nINIT assigner_3 7 " + kSettings +
+               "\nENDPOINTS assigner_3 0 1 warm_copy\nFLUSH\n");
+  EXPECT_EQ(result.error, "");
+  EXPECT_NE(result.out.rfind("OBSERVE assigner_3 1\n"), result.out.find("OBSERVE assigner_3 1\n"));
 }
 
-TEST(Session, InstancesShareNothing) {
+TEST(Session, InstancesAreIndependent) {
   std::string other = kStart;
   for (std::size_t p; (p = other.find("assigner_3")) != std::string::npos;)
     other.replace(p, 10, "assigner_8");
   std::string together = "MARK 8412.25\n" + kStart.substr(13, kStart.size() - 19) +
                          other.substr(13, other.size() - 19) + "FLUSH\n";
-  std::string out = play(together).out, three = play(kStart).out, eight = play(other).out;
-  EXPECT_EQ(out, three.substr(0, three.size() - 5) + eight);
+  std::string out = run(together).out, first_alone = run(kStart).out, second_alone = run(other).out;
+  EXPECT_EQ(out, first_alone.substr(0, first_alone.size() - 5) + second_alone);
 }
 
-TEST(BadInput, IsNamedPlainly) {
+TEST(MalformedInput, IsReportedWithFieldProblemAndValue) {
   EXPECT_EQ(error_of("SNACK assigner_3\nFLUSH\n"), "message is unknown: 'SNACK'");
   EXPECT_EQ(error_of("BELL assigner_9 1\nFLUSH\n"), "instance is unknown: 'assigner_9'");
   EXPECT_EQ(error_of("BELL assigner_3\nFLUSH\n"), "field handle is missing");
-  EXPECT_EQ(error_of("BELL assigner_3 1 2\nFLUSH\n"), "line has more fields than its message");
+  EXPECT_EQ(error_of("BELL assigner_3 1 2\nFLUSH\n"), "line has more fields than the message");
   EXPECT_EQ(error_of("BELL assigner_3 9999999999999999999\nFLUSH\n"),
             "handle is out of range: '9999999999999999999'");
   EXPECT_EQ(error_of("BELL assigner_3 -1\nFLUSH\n"), "handle is not a whole number: '-1'");
@@ -140,65 +140,68 @@
   EXPECT_EQ(error_of("STREAM_UP assigner_3 1 north 5 2\nFLUSH\n"), "flag is neither 0 nor 1: '2'");
   EXPECT_EQ(error_of("SHEET 16 0\nFLUSH\n"), "slot is out of range: '16'");
   EXPECT_EQ(error_of("SHEET 1 2\nROW - north big in_service 2 0 11\nFLUSH\n"),
-            "SHEET announces 2 rows, 1 came");
-  EXPECT_EQ(error_of("ROW - north big in_service 2 0 11\nFLUSH\n"), "a ROW stands outside its SHEET");
-  EXPECT_EQ(error_of("ENDPOINTS assigner_3 5 1 total\nFLUSH\n"), "ENDPOINTS names a SHEET that never came");
+            "SHEET of 2 rows has only 1 ROW lines");
+  EXPECT_EQ(error_of("ROW - north big in_service 2 0 11\nFLUSH\n"), "ROW without a SHEET");
+  EXPECT_EQ(error_of("ENDPOINTS assigner_3 5 1 total\nFLUSH\n"),
+            "ENDPOINTS refers to a SHEET that was not sent");
   EXPECT_EQ(error_of("ENDPOINTS assigner_3 0 1 half\nFLUSH\n"), "form is unknown: 'half'");
-  EXPECT_EQ(error_of("BELL assigner_3 1\n"), "the input ends inside a batch");
-  EXPECT_EQ(play("BELL assigner_3 1\n").error, "a batch begins with MARK, not 'BELL'");
-  EXPECT_EQ(play(kStart + "MARK 8500\nBELL assigner_9 1\nFLUSH\n").line, 9u);
+  EXPECT_EQ(error_of("BELL assigner_3 1\n"), "the input ends within a batch");
+  EXPECT_EQ(run("BELL assigner_3 1\n").error, "a batch must begin with MARK, not 'BELL'");
+  EXPECT_EQ(run(kStart + "MARK 8500\nBELL assigner_9 1\nFLUSH\n").line, 9u);
 }
 
-TEST(BadInput, AMissingSettingIsNamed) {
+TEST(MalformedInput, AMissingSettingIsReportedByItsPath) {
   for (std::string key : {"guarantees.warm_up", "family_info.period", "classes.1.window", "azs"}) {
     std::string input = kStart;
     std::size_t from = input.find(key + "="), to = input.find(' ', from);
     input.erase(from, to - from + 1);
-    EXPECT_EQ(play(input).error, "setting " + key + " is missing");
+    EXPECT_EQ(run(input).error, "setting " + key + " is missing");
   }
 }
 
-// Cut or garbled anywhere, the input is either still legal or refused with one plain message; never a crash.
-TEST(BadInput, GarbledBatchesNeverCrash) {
-  std::string whole = kStart +
+// Input that is truncated or corrupted at any byte must be accepted or rejected with a one-line message, and
+// must never crash the adapter.
+TEST(MalformedInput, CorruptedBatchesNeverCrash) {
+  std::string input = kStart +
                       "MARK 8500\nSTREAM_UP assigner_3 41 north 6.5 1\n"
                       "STATS assigner_3 north 11 14 1 48.25 1000.0 utilization:0.62\nFLUSH\n"
                       "MARK 8912.25\nBELL assigner_3 0\nUSAGE assigner_3 41 read 9 0 2000.0\nFLUSH\n";
-  for (std::size_t cut = 0; cut < whole.size(); ++cut) {
-    Result r = play(whole.substr(0, cut));
-    EXPECT_EQ(r.error.find('\n'), std::string::npos);
+  for (std::size_t cut = 0; cut < input.size(); ++cut) {
+    Result result = run(input.substr(0, cut));
+    EXPECT_EQ(result.error.find('\n'), std::string::npos);
   }
   std::mt19937 random(5);
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 4000; ++i) {
-    std::string bad = whole;
-    for (int k = 0; k < 3; ++k) bad[random() % bad.size()] = static_cast<char>(' ' + random() % 95);
-    Result r = play(bad);
-    EXPECT_EQ(r.error.find('\n'), std::string::npos);
-    refused += !r.error.empty();
+    std::string corrupted = input;
+    for (int k = 0; k < 3; ++k)
+      corrupted[random() % corrupted.size()] = static_cast<char>(' ' + random() % 95);
+    Result result = run(corrupted);
+    EXPECT_EQ(result.error.find('\n'), std::string::npos);
+    rejected += !result.error.empty();
   }
-  EXPECT_GT(refused, 1000);
+  EXPECT_GT(rejected, 1000);
 }
 
-TEST(Actions, AreWrittenAsTheWireWantsThem) {
+TEST(Actions, AreFormattedAsTheProtocolDefines) {
   std::string out;
-  auto add = [&](Action a) { append_action(out, "assigner_3", a); };
-  add(Subscribe{false});
-  add(FetchEndpoints{});
-  add(SetTimer{clock_time(8912.25), 77});
-  add(SendHealthCheck{EndpointId(4294967295)});
-  add(SendPeerMessage{0, true, {0x68, 0x07}});
-  add(SendPeerMessage{2, false, {}});
-  add(SetWeight{TableId(117), EndpointId(5), 0.75});
-  add(SetWeight{TableId(117), EndpointId(5), 1e-7});
-  add(ClearTable{TableId(117)});
-  add(AssignTable{3, ProxyId(41), TableId(117)});
-  add(ExcludeEndpoint{EndpointId(5), true});
-  add(SetAdmissionLimit{TableId(117), false, 2, 1e6, RetryMode::if_not_processed});
-  add(SetAdmissionLimit{TableId(1), true, 0, 0, RetryMode::twice});
-  add(AckRequest{9, true});
-  add(LogMessage{"two\nlines"});
-  add(InvariantViolated{"why"});
+  auto append = [&](Action action) { append_action(out, "assigner_3", action); };
+  append(Subscribe{false});
+  append(FetchEndpoints{});
+  append(SetTimer{clock_time(8912.25), 77});
+  append(SendHealthCheck{EndpointId(4294967295)});
+  append(SendPeerMessage{0, true, {0x68, 0x07}});
+  append(SendPeerMessage{2, false, {}});
+  append(SetWeight{TableId(117), EndpointId(5), 0.75});
+  append(SetWeight{TableId(117), EndpointId(5), 1e-7});
+  append(ClearTable{TableId(117)});
+  append(AssignTable{3, ProxyId(41), TableId(117)});
+  append(ExcludeEndpoint{EndpointId(5), true});
+  append(SetAdmissionLimit{TableId(117), false, 2, 1e6, RetryMode::if_not_processed});
+  append(SetAdmissionLimit{TableId(1), true, 0, 0, RetryMode::twice});
+  append(AckRequest{9, true});
+  append(LogMessage{"two\nlines"});
+  append(InvariantViolated{"why"});
   EXPECT_EQ(
       out,
       "OBSERVE assigner_3 0\nFETCH assigner_3\nSET_ALARM assigner_3 8912.25 77\n"
