--- a/src/assignments/assignment_tables.h
+++ b/src/assignments/assignment_tables.h
@@ -27,8 +27,7 @@
 struct WeightTable {
   std::map<EndpointId, double> weights;
   std::map<ClassId, AdmissionLimit> limits;
-  std::map<ProxyId, ClassMask>
-      proxies;  // users of the table, each with the request classes it uses the table for
+  std::map<ProxyId, ClassMask> proxies;  // users of the table, each with the classes it uses the table for
 };
 
 // ---- Updates to one proxy. In an update a class mask of 0 means no class, whereas in an action it means
--- a/src/base/archive.h
+++ b/src/base/archive.h
@@ -125,7 +125,7 @@
   void expect_end() const {
     if (remaining() > 0) fail(std::to_string(remaining()) + " unexpected bytes at the end");
   }
-  // Throws DecodeError at the current offset; for a decoded value that the caller rejects.
+  // Throws DecodeError at the current offset. Callers reject an invalid decoded value with it.
   [[noreturn]] void fail(const std::string& reason) const { throw DecodeError(offset_, reason); }
 
  private:
--- a/src/base/file.h
+++ b/src/base/file.h
@@ -27,7 +27,7 @@
 // Replaces the content of the file `path` by `bytes`, atomically and durably. If the process is killed at any
 // point, the file has either its old content or the new one, each complete: the new content is written to
 // `path`.new, synced and renamed over `path`, and then the folder is synced. When the function returns, the
-// new content is on disk. Throws FileError, and the old content stays.
+// new content is on disk. Throws FileError; the old content stays, unless only syncing the folder failed.
 void replace_file(const std::string& path, std::string_view bytes);
 
 // Size of the header before the payload of a record: the payload's length (4 bytes) and its XXH3 checksum (8
@@ -42,10 +42,11 @@
 // incomplete or damaged or if `offset` is the end of `bytes`.
 std::optional<std::string_view> read_record(std::string_view bytes, std::size_t& offset);
 
-// Returns the offset of the first intact, non-empty record that starts after `offset`, at which read_record()
-// has failed. Returns nullopt if there is none: the bytes from `offset` on are an incomplete last record, as
-// a killed process leaves it in a log. If there is such a record, the file is damaged before its end, and
-// skipping the damage or truncating the file at `offset` would silently lose records.
+// Distinguishes an incomplete last record from damage, after read_record() has failed at `offset`. Returns
+// the offset of the first intact, non-empty record that starts after `offset`. If there is one, the file is
+// damaged before its end, and skipping the damage or truncating the file at `offset` would silently lose
+// records. Returns nullopt if there is none: the bytes from `offset` on are an incomplete last record, as a
+// killed process leaves it in a log.
 std::optional<std::size_t> find_record_after(std::string_view bytes, std::size_t offset);
 
 }  // namespace beamshunt::base
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -19,8 +19,8 @@
 using settings::Names;
 
 // Reads the space-separated fields of a line from left to right. Unless stated otherwise, each method
-// consumes one field, whose protocol name `field` is for error messages only, and throws WireError if the
-// field is missing, empty or malformed.
+// consumes one field and throws WireError if the field is missing, empty or malformed. The parameter `field`
+// is the field's name in the protocol, for error messages.
 class LineReader {
  public:
   // Reads the first field, the name of the message. `line` must outlive the reader.
@@ -30,8 +30,7 @@
   std::string_view text(const char* field);
   // Consumes the rest of the line, which may be empty.
   std::string_view rest();
-  // Returns true and consumes the field if it is "-". Otherwise returns false, and the field can be read
-  // next.
+  // Returns true and consumes the field if it is "-". Otherwise returns false and consumes nothing.
   bool absent(const char* field);
   // Reads a finite number.
   double number(const char* field);
--- a/src/simulator_adapter/session.h
+++ b/src/simulator_adapter/session.h
@@ -48,8 +48,7 @@
   static constexpr std::size_t kListSlots = 16;  // given by the protocol; instances may share a list
   std::array<std::optional<EndpointRows>, kListSlots> endpoint_rows_;
   std::map<std::string, Instance, std::less<>> instances_;
-  std::vector<std::string>
-      active_;  // instances with events in the current batch, in the order of their first event
+  std::vector<std::string> active_;  // instances with events in the current batch, ordered by first event
 };
 
 }  // namespace beamshunt::simulator_adapter
--- a/tests/base/base_test.cpp
+++ b/tests/base/base_test.cpp
@@ -141,9 +141,10 @@
   EXPECT_EQ(clock.steps()[0].offset, 46000);
   EXPECT_EQ(clock.steps()[1].offset, -1000);
   EXPECT_EQ(clock.forward_offset(2800, 48950), 46000);
-  EXPECT_EQ(clock.forward_offset(2880, 48880), 46000);  // between the samples that enclose the step
-  EXPECT_EQ(clock.forward_offset(48890, 49500), 0);     // after the step
-  EXPECT_EQ(clock.forward_offset(1000, 2870), 0);       // before the step
+  EXPECT_EQ(clock.forward_offset(2880, 48880),
+            46000);                                  // timestamps between the samples that enclose the step
+  EXPECT_EQ(clock.forward_offset(48890, 49500), 0);  // both timestamps after the step
+  EXPECT_EQ(clock.forward_offset(1000, 2870), 0);    // both timestamps before the step
 }
 
 }  // namespace
