--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -255,12 +255,12 @@
   return assigned;
 }
 
-Event read_shard_held(const Names&, LineReader& line) {
-  ShardHeld shard_held;
-  shard_held.shard = read_table(line);
-  shard_held.endpoint = read_endpoint(line);
-  shard_held.weight = line.non_negative("size");
-  return shard_held;
+Event read_shard_owner(const Names&, LineReader& line) {
+  ShardOwnerReported report;
+  report.shard = read_table(line);
+  report.endpoint = read_endpoint(line);
+  report.weight = line.non_negative("size");
+  return report;
 }
 
 }  // namespace
@@ -277,7 +277,7 @@
                                                              {"RECEIPT", read_acknowledgement},
                                                              {"WEIGHT_SEEN", read_shard_demand},
                                                              {"HANDED", read_shard_assigned},
-                                                             {"IN_STORE", read_shard_held}};
+                                                             {"IN_STORE", read_shard_owner}};
   auto reader = readers.find(line.name());
   if (reader == readers.end()) return std::nullopt;
   Event event = reader->second(names, line);
--- a/tests/channel/frames_test.cpp
+++ b/tests/native_protocol/frames_test.cpp
@@ -1,5 +1,5 @@
 // The order channel's frames: however the bytes are cut, whatever they are.
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 #include "seeded_random.h"
 
-namespace beamshunt::channel {
+namespace beamshunt::native_protocol {
 namespace {
 
 std::vector<Frame> one_of_each() {
@@ -32,7 +32,7 @@
   FrameParser parser;
   std::vector<Frame> out;
   for (std::size_t k = 0; k < bytes.size(); k += step) parser.feed(bytes.substr(k, step), out);
-  EXPECT_EQ(parser.unfinished(), 0u);
+  EXPECT_EQ(parser.buffered_bytes(), 0u);
   return out;
 }
 
@@ -82,7 +82,7 @@
   for (const Frame& f : kBad) {
     FrameParser parser;
     std::vector<Frame> out;
-    EXPECT_THROW(parser.feed(encode(f), out), ProtocolError) << kind_name(f);
+    EXPECT_THROW(parser.feed(encode(f), out), ProtocolError) << frame_kind_name(f);
   }
 }
 
@@ -125,10 +125,10 @@
       ++refused;
       EXPECT_LE(error.offset, mutated.size());
     }
-    EXPECT_LE(parser.unfinished(), 4096u + kHeaderBytes + 97);
+    EXPECT_LE(parser.buffered_bytes(), 4096u + kFrameHeaderBytes + 97);
   }
   EXPECT_GT(refused, 10000);
 }
 
 }  // namespace
-}  // namespace beamshunt::channel
+}  // namespace beamshunt::native_protocol
