--- a/src/health_check/http_outcome.h
+++ b/src/health_check/http_outcome.h
@@ -1,4 +1,4 @@
-// What the HTTP answer to a health check says of the endpoint, in the decision module's terms. Pure.
+// Maps the HTTP response to a health check to an outcome for the controller. It performs no I/O.
 #pragma once
 
 #include "http/server.h"
@@ -9,10 +9,10 @@
 constexpr int kOk = 200;
 constexpr int kServiceUnavailable = 503;
 
-// The outcome of one health check. A status other than 200 is an error of the application, but for 503: the
-// endpoint sheds load.
-inline AttemptOutcome outcome_of(const http::Client::Result& answer) {
-  switch (answer.failure) {
+// Returns the outcome of a health check. Status 200 is a success, and 503 a rejection: the endpoint sheds
+// load. Any other status is an application error.
+inline AttemptOutcome outcome_of(const http::Client::Result& result) {
+  switch (result.failure) {
     case http::Client::Failure::connect_failed:
       return AttemptOutcome::connect_failed;
     case http::Client::Failure::timed_out:
@@ -24,8 +24,8 @@
     case http::Client::Failure::none:
       break;
   }
-  if (answer.response.status == kOk) return AttemptOutcome::success;
-  return answer.response.status == kServiceUnavailable ? AttemptOutcome::rejected
+  if (result.response.status == kOk) return AttemptOutcome::success;
+  return result.response.status == kServiceUnavailable ? AttemptOutcome::rejected
                                                        : AttemptOutcome::application_error;
 }
 
