--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -1,4 +1,4 @@
-// Settings: any text is taken or refused with a place.
+// Settings: arbitrary text is accepted or rejected with an error that names the location.
 #include "config/value.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
--- a/fuzz/configstream.cpp
+++ b/fuzz/configstream.cpp
@@ -1,5 +1,5 @@
-// Bytes from a hostile configuration service, and a log of versions from a hostile disk: no crash, no promise
-// broken, bounded memory.
+// Arbitrary bytes from a configuration service, and an arbitrary version log on disk. The client and the
+// store must not crash, must limit their memory, and must not apply a version that was not validated.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -11,9 +11,9 @@
 
 using namespace beamshunt::config_stream;
 
-class OneFile final : public Disk {
+class SingleFileDisk final : public Disk {
  public:
-  explicit OneFile(std::string_view bytes) : bytes_(bytes) {}
+  explicit SingleFileDisk(std::string_view bytes) : bytes_(bytes) {}
   std::optional<std::string> read(const std::string&) override { return bytes_; }
   void append(const std::string&, std::string_view) override {}
   void truncate(const std::string&, std::size_t size) override { bytes_.resize(size); }
@@ -34,16 +34,18 @@
                 0, {}, 0);
   client.run_once(0);
   client.on_connected(0);
-  for (std::size_t at = 0; at < bytes.size(); at += 97) client.on_bytes(bytes.substr(at, 97), 1);
-  for (Effect& e : client.take_effects()) {
-    auto* check = std::get_if<Validate>(&e);
-    if (check && content_hash(check->candidate.resources) != check->candidate.hash) std::abort();
-    if (std::get_if<Apply>(&e)) std::abort();  // nothing was validated
+  for (std::size_t offset = 0; offset < bytes.size(); offset += 97)
+    client.on_bytes(bytes.substr(offset, 97), 1);
+  for (Effect& effect : client.take_effects()) {
+    auto* validation = std::get_if<Validate>(&effect);
+    if (validation && content_hash(validation->candidate.resources) != validation->candidate.hash)
+      std::abort();
+    if (std::get_if<Apply>(&effect)) std::abort();  // nothing was validated
   }
   try {
-    VersionStore store(std::make_shared<OneFile>(bytes));
+    VersionStore store(std::make_shared<SingleFileDisk>(bytes));
     static_cast<void>(store.history().version_to_start());
-  } catch (const StoreError&) {  // damage is refused
+  } catch (const StoreError&) {  // damaged files are rejected
   }
   return 0;
 }
--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -1,4 +1,4 @@
-// The discovery service's lines, and the cached copy on disk.
+// Endpoint lists from the discovery service, and their cached copy on disk.
 #include <stdexcept>
 #include <tuple>
 
@@ -9,9 +9,9 @@
   using namespace beamshunt::assigner;
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   try {
-    EndpointCatalog book;
-    book.apply(parse_endpoint_list(bytes, {"north", "south"}));
-    if (decode_cached_list(encode_cached_list(book)).entries() != book.entries()) __builtin_trap();
+    EndpointCatalog catalog;
+    catalog.apply(parse_endpoint_list(bytes, {"north", "south"}));
+    if (decode_cached_list(encode_cached_list(catalog)).entries() != catalog.entries()) __builtin_trap();
   } catch (const std::runtime_error&) {
   }
   try {
--- a/fuzz/platform.cpp
+++ b/fuzz/platform.cpp
@@ -1,4 +1,5 @@
-// Arbitrary bytes as the platform's messages in pieces, discovery's objects, load reports and configurations.
+// Arbitrary bytes as fragmented platform messages, objects of the discovery service, load reports and
+// configurations.
 #include "platform/configuration.h"
 #include "platform/directory.h"
 #include "platform/message.h"
@@ -7,13 +8,14 @@
   using namespace beamshunt;
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   const settings::Names names{{"north", "south"}, {"look", "buy"}};
-  constexpr std::size_t kMostLine = 4096;
-  platform::LineReader reader(kMostLine);
+  constexpr std::size_t kMaxLineBytes = 4096;
+  platform::LineReader reader(kMaxLineBytes);
   try {
-    for (std::size_t from = 0, piece = 1; from < size; from += piece, piece = piece * 2 % 61 + 1) {
-      reader.push(bytes.substr(from, piece));
+    for (std::size_t offset = 0, fragment_bytes = 1; offset < size;
+         offset += fragment_bytes, fragment_bytes = fragment_bytes * 2 % 61 + 1) {
+      reader.push(bytes.substr(offset, fragment_bytes));
       while (auto line = reader.next()) {
-        if (line->size() > kMostLine) __builtin_trap();
+        if (line->size() > kMaxLineBytes) __builtin_trap();
         try {
           platform::parse_message(*line, names, 40);
         } catch (const platform::ProtocolError&) {
@@ -25,8 +27,8 @@
   static_cast<void>(platform::parse_load_report(bytes));
   try {
     platform::Directory directory;
-    for (const ListedEndpoint& e : directory.apply(bytes, names, 0, 0).list.entries)
-      if (!directory.uid(e.id)) __builtin_trap();
+    for (const ListedEndpoint& endpoint : directory.apply(bytes, names, 0, 0).list.entries)
+      if (!directory.uid(endpoint.id)) __builtin_trap();
   } catch (const platform::EndpointListError&) {
   }
   try {
--- a/fuzz/record.cpp
+++ b/fuzz/record.cpp
@@ -1,4 +1,4 @@
-// The flight record: whole, torn or damaged.
+// Flight records: complete, truncated or damaged.
 #include "flight_record/replay.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
--- a/src/http/numbers.cpp
+++ b/src/http/numbers.cpp
@@ -5,13 +5,13 @@
 
 namespace beamshunt::http {
 
-std::map<std::string, double> parse_named_numbers(std::string_view text) {
-  std::map<std::string, double> out;
-  auto json = nlohmann::json::parse(text, nullptr, false);
-  if (!json.is_object()) return out;
-  for (auto& [name, value] : json.items())
-    if (value.is_number() && std::isfinite(value.get<double>())) out[name] = value.get<double>();
-  return out;
+std::map<std::string, double> parse_named_numbers(std::string_view json) {
+  std::map<std::string, double> numbers;
+  auto document = nlohmann::json::parse(json, nullptr, false);
+  if (!document.is_object()) return numbers;
+  for (auto& [name, value] : document.items())
+    if (value.is_number() && std::isfinite(value.get<double>())) numbers[name] = value.get<double>();
+  return numbers;
 }
 
 }  // namespace beamshunt::http
--- a/src/http/numbers.h
+++ b/src/http/numbers.h
@@ -1,4 +1,4 @@
-// Named numbers as a JSON object, which is how servers tell their load.
+// Parser for named numbers in a JSON object, the format in which servers report their load.
 #pragma once
 
 #include <map>
@@ -7,7 +7,8 @@
 
 namespace beamshunt::http {
 
-// The finite numbers of the object; what else it holds is skipped, and what is no object holds none.
+// Returns the members of the JSON object whose values are finite numbers, and skips all other members.
+// Returns an empty map if `json` is malformed or not an object.
 std::map<std::string, double> parse_named_numbers(std::string_view json);
 
 }  // namespace beamshunt::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -9,35 +9,39 @@
 struct Responder::Exchange {
   std::weak_ptr<Server::Session> session;
   net::Address peer;
-  std::string out;  // what waits for the answers before it
+  std::string output;  // encoded response bytes that wait for the responses to earlier requests
   bool keep_alive = true, done = false;
   ~Exchange();
 };
 
 struct Server::Session final : Parser::Sink, std::enable_shared_from_this<Server::Session> {
-  Session(Server& s, std::shared_ptr<net::Connection> c)
-      : server(&s), connection(std::move(c)), parser(Parser::Kind::request, *this, s.options_.limits) {}
+  Session(Server& owner, std::shared_ptr<net::Connection> accepted)
+      : server(&owner),
+        connection(std::move(accepted)),
+        parser(Parser::Kind::request, *this, owner.options_.limits) {}
 
   void start() {
     connection->start({{},
                        [this](std::string_view bytes) { feed(bytes); },
-                       [this] { peer_ended = true, flush(); },
-                       [this](net::CloseReason) { gone(); }});
+                       [this] { peer_shut_down = true, flush(); },
+                       [this](net::CloseReason) { detach(); }});
   }
   void feed(std::string_view bytes) {
-    if (refused) return;  // read and dropped, lest the peer's unread bytes reset our last words
+    // Further bytes are read and discarded. Unread bytes at close() would make the kernel reset the
+    // connection, and the peer could lose the error response.
+    if (malformed) return;
     auto self = shared_from_this();
     try {
       parser.feed(bytes);
     } catch (const ParseError& error) {
-      refused = true;
+      malformed = true;
       if (server && server->options_.on_malformed_request)
         server->options_.on_malformed_request(connection->peer(), error);
-      Message answer = make_response(error.status, std::string(error.what()) + "\n", "text/plain");
-      answer.keep_alive = false;
+      Message error_response = make_response(error.status, std::string(error.what()) + "\n", "text/plain");
+      error_response.keep_alive = false;
       auto exchange = open_exchange();
       exchange->keep_alive = false;
-      exchange->out = serialize(answer);
+      exchange->output = serialize(error_response);
       exchange->done = true;
       flush();
     }
@@ -46,113 +50,118 @@
     auto exchange = std::make_shared<Responder::Exchange>();
     exchange->session = weak_from_this();
     exchange->peer = connection->peer();
-    waiting.push_back(exchange);
+    pending.push_back(exchange);
     return exchange;
   }
   void on_message(Message&& request) override {
     auto exchange = open_exchange();
     exchange->keep_alive = request.keep_alive;
-    if (waiting.size() >= server->options_.max_pipelined_requests) connection->set_reading_paused(true);
-    server->handle_(std::move(request), Responder(exchange));
+    if (pending.size() >= server->options_.max_pipelined_requests) connection->set_reading_paused(true);
+    server->handler_(std::move(request), Responder(exchange));
   }
+  // Sends the completed responses in the order of their requests.
   void flush() {
     auto self = shared_from_this();
-    while (!waiting.empty()) {
-      auto front = waiting.front().lock();
-      if (!front) return reset();  // its responder was dropped
-      if (!front->out.empty() && !connection->send(std::exchange(front->out, {}))) return;
+    while (!pending.empty()) {
+      auto front = pending.front().lock();
+      if (!front) return reset();  // all copies of the responder were destroyed
+      if (!front->output.empty() && !connection->send(std::exchange(front->output, {}))) return;
       if (!front->done) return;
-      waiting.pop_front();
+      pending.pop_front();
       if (!front->keep_alive) {
         auto closing = connection;
-        gone();
+        detach();
         return closing->close_after_flush();
       }
-      if (server && waiting.size() + 1 == server->options_.max_pipelined_requests)
+      if (server && pending.size() + 1 == server->options_.max_pipelined_requests)
         connection->set_reading_paused(false);
     }
-    if (peer_ended) {
+    if (peer_shut_down) {
       auto closing = connection;
-      gone();
+      detach();
       closing->close_after_flush();
     }
   }
   void reset() {
     auto closing = connection;
-    gone();
+    detach();
     closing->reset();
   }
-  void gone() {
+  // Removes the session from the server. The connection is left to the caller.
+  void detach() {
     auto self = shared_from_this();
-    waiting.clear();
+    pending.clear();
     if (auto* owner = std::exchange(server, nullptr)) owner->sessions_.erase(self);
   }
 
-  Server* server;  // null once the session is over
+  Server* server;  // null after detach()
   std::shared_ptr<net::Connection> connection;
   Parser parser;
-  std::deque<std::weak_ptr<Responder::Exchange>> waiting;
-  bool peer_ended = false, refused = false;
+  std::deque<std::weak_ptr<Responder::Exchange>> pending;
+  bool peer_shut_down = false, malformed = false;
 };
 
 Responder::Exchange::~Exchange() {
   if (done) return;
-  if (auto s = session.lock(); s && s->server) s->reset();
+  if (auto active_session = session.lock(); active_session && active_session->server) active_session->reset();
 }
 
 void Responder::send(const Message& message) const {
-  auto& x = *exchange_;
-  if (x.done) return;
+  auto& exchange = *exchange_;
+  if (exchange.done) return;
   Message copy = message;
-  copy.keep_alive &= x.keep_alive;
-  x.keep_alive = copy.keep_alive;
-  x.out = serialize(copy);
-  x.done = true;
-  if (auto s = x.session.lock(); s && s->server) s->flush();
+  copy.keep_alive &= exchange.keep_alive;
+  exchange.keep_alive = copy.keep_alive;
+  exchange.output = serialize(copy);
+  exchange.done = true;
+  if (auto active_session = exchange.session.lock(); active_session && active_session->server)
+    active_session->flush();
 }
 
 bool Responder::begin_stream(int status, std::string_view type) const {
   Message head = make_response(status, {});
   head.headers.emplace_back("content-type", type);
   head.headers.emplace_back("transfer-encoding", "chunked");
-  exchange_->out += serialize(head);
+  exchange_->output += serialize(head);
   return send_chunk({});
 }
 
-bool Responder::send_chunk(std::string_view piece) const {
-  if (!piece.empty()) exchange_->out += encode_chunk(piece);
-  auto s = exchange_->session.lock();
-  if (!s || !s->server) return false;
-  s->flush();
+bool Responder::send_chunk(std::string_view data) const {
+  if (!data.empty()) exchange_->output += encode_chunk(data);
+  auto active_session = exchange_->session.lock();
+  if (!active_session || !active_session->server) return false;
+  active_session->flush();
   return is_connected();
 }
 
 void Responder::end_stream() const {
   if (exchange_->done) return;
-  exchange_->out += encode_chunk({});
+  exchange_->output += encode_chunk({});
   exchange_->done = true;
-  if (auto s = exchange_->session.lock(); s && s->server) s->flush();
+  if (auto active_session = exchange_->session.lock(); active_session && active_session->server)
+    active_session->flush();
 }
 
 void Responder::reset() const {
   exchange_->done = true;
-  if (auto s = exchange_->session.lock(); s && s->server) s->reset();
+  if (auto active_session = exchange_->session.lock(); active_session && active_session->server)
+    active_session->reset();
 }
 
 bool Responder::is_connected() const {
-  auto s = exchange_->session.lock();
-  return s && s->server && s->connection->is_open();
+  auto active_session = exchange_->session.lock();
+  return active_session && active_session->server && active_session->connection->is_open();
 }
 
 net::Address Responder::peer() const { return exchange_->peer; }
 
-Server::Server(net::Reactor& reactor, net::Address at, RequestHandler handle, Options options)
-    : reactor_(reactor), handle_(std::move(handle)), options_(std::move(options)) {
+Server::Server(net::Reactor& reactor, net::Address at, RequestHandler handler, Options options)
+    : reactor_(reactor), handler_(std::move(handler)), options_(std::move(options)) {
   listener_ = std::make_unique<net::Listener>(
       reactor_, at,
-      [this](std::shared_ptr<net::Connection> c) {
-        if (options_.accept_peer && !options_.accept_peer(c->peer())) return c->close();
-        auto session = std::make_shared<Session>(*this, std::move(c));
+      [this](std::shared_ptr<net::Connection> connection) {
+        if (options_.accept_peer && !options_.accept_peer(connection->peer())) return connection->close();
+        auto session = std::make_shared<Session>(*this, std::move(connection));
         sessions_.insert(session);
         session->start();
       },
@@ -168,46 +177,47 @@
 // ---- Client ----
 
 struct Client::Link final : Parser::Sink, std::enable_shared_from_this<Client::Link> {
-  Link(Client& c, net::Address t)
-      : client(&c), to(t), parser(Parser::Kind::response, *this, c.options_.limits) {}
+  Link(Client& owner, net::Address server)
+      : client(&owner), to(server), parser(Parser::Kind::response, *this, owner.options_.limits) {}
 
   void dial() {
     connection =
         net::Connection::dial(client->reactor_, to, client->options_.source,
                               {.tls = client->options_.tls, .tls_peer_name = client->options_.tls_peer_name});
     dialling = true;
-    connection->start({[this] { dialling = false, arm(); }, [this](std::string_view bytes) { feed(bytes); },
-                       [this] { ended(); },
+    connection->start({[this] { dialling = false, start_timer(); },
+                       [this](std::string_view bytes) { feed(bytes); }, [this] { handle_peer_shutdown(); },
                        [this](net::CloseReason reason) {
-                         bool never = std::exchange(dialling, false);
-                         fail(never ? Failure::connect_failed : Failure::connection_lost,
+                         bool was_dialling = std::exchange(dialling, false);
+                         fail(was_dialling ? Failure::connect_failed : Failure::connection_lost,
                               net::close_reason_name(reason));
                        }});
   }
-  void arm() {  // the time that the present state may last
-    disarm();
-    Ms wait = dialling ? std::min(client->options_.connect_timeout_ms, timeout_ms) : timeout_ms;
-    timer = client->reactor_.call_at(client->reactor_.now() + wait, [this] {
-      armed = false;
+  // Restarts the timeout of the current state: connecting, or waiting for bytes of the response.
+  void start_timer() {
+    stop_timer();
+    Ms timeout = dialling ? std::min(client->options_.connect_timeout_ms, timeout_ms) : timeout_ms;
+    timer = client->reactor_.call_at(client->reactor_.now() + timeout, [this] {
+      timer_active = false;
       fail(dialling ? Failure::connect_failed : Failure::timed_out,
-           dialling ? "no connection in time" : "no answer in time");
+           dialling ? "timed out while connecting" : "timed out while waiting for the response");
     });
-    armed = true;
+    timer_active = true;
   }
-  void disarm() {
-    if (std::exchange(armed, false)) client->reactor_.cancel_timer(timer);
+  void stop_timer() {
+    if (std::exchange(timer_active, false)) client->reactor_.cancel_timer(timer);
   }
   void feed(std::string_view bytes) {
     auto self = shared_from_this();
-    if (call == 0) return drop();  // an answer that nobody asked for
-    if (piece) arm();
+    if (call == 0) return close();  // bytes without an outstanding request
+    if (on_data) start_timer();
     try {
       parser.feed(bytes);
     } catch (const ParseError& error) {
       fail(Failure::malformed, error.what());
     }
   }
-  void ended() {
+  void handle_peer_shutdown() {
     auto self = shared_from_this();
     if (call != 0) {
       try {
@@ -219,137 +229,143 @@
     if (client) fail(Failure::connection_lost, "ended");
   }
   bool on_body(std::string_view part) override {
-    // The body of a refusal is no part of what is listened for: it comes whole, with its status, in the
-    // answer.
-    if (!piece || parser.status() != 200) return false;
-    auto give = piece;
-    give(part);
+    // Only the body of a successful response is streamed. Other bodies are returned in the result, with their
+    // status.
+    if (!on_data || parser.status() != 200) return false;
+    auto callback = on_data;
+    callback(part);
     return true;
   }
   void on_message(Message&& message) override {
     if (!client || call == 0) return;
     auto self = shared_from_this();
-    disarm();
-    Result answer{.failure = Failure::none,
+    stop_timer();
+    Result result{.failure = Failure::none,
                   .detail = {},
                   .response = std::move(message),
-                  .new_connection = fresh,
+                  .new_connection = is_new,
                   .request_sent = true};
-    auto tell = finish_call();
-    // No place is made for connections to this address until one is kept: start() takes the last of a place.
-    auto kept = client->idle_.find(to);
-    std::size_t idle = kept == client->idle_.end() ? 0 : kept->second.size();
-    if (!answer.response.keep_alive || !connection->is_open() ||
+    auto callback = finish_call();
+    // An entry for the address is only created when it receives a connection: start() relies on every entry
+    // being non-empty.
+    auto idle_entry = client->idle_links_.find(to);
+    std::size_t idle = idle_entry == client->idle_links_.end() ? 0 : idle_entry->second.size();
+    if (!result.response.keep_alive || !connection->is_open() ||
         idle >= client->options_.max_idle_connections) {
-      drop();
+      close();
     } else {
-      fresh = false;
-      client->idle_[to].push_back(self);
+      is_new = false;
+      client->idle_links_[to].push_back(self);
       timer = client->reactor_.call_at(client->reactor_.now() + client->options_.idle_timeout_ms, [this] {
-        armed = false;
-        auto hold = shared_from_this();
-        forget_idle();
-        drop();
+        timer_active = false;
+        auto link = shared_from_this();  // remove_from_idle() drops the reference of the client
+        remove_from_idle();
+        close();
       });
-      armed = true;
+      timer_active = true;
     }
-    tell(std::move(answer));
+    callback(std::move(result));
   }
+  // Ends the outstanding call and returns its callback.
   ResultCallback finish_call() {
-    client->busy_.erase(std::exchange(call, 0));
-    piece = nullptr;
-    return std::exchange(tell_done, nullptr);
+    client->active_links_.erase(std::exchange(call, 0));
+    on_data = nullptr;
+    return std::exchange(on_result, nullptr);
   }
-  void forget_idle() {
-    auto found = client->idle_.find(to);
-    if (found == client->idle_.end()) return;
+  void remove_from_idle() {
+    auto found = client->idle_links_.find(to);
+    if (found == client->idle_links_.end()) return;
     std::erase(found->second, shared_from_this());
-    if (found->second.empty()) client->idle_.erase(found);
+    if (found->second.empty()) client->idle_links_.erase(found);
   }
+  // Closes the connection and reports the failure if a request is outstanding.
   void fail(Failure failure, std::string detail) {
     if (!client) return;
     auto self = shared_from_this();
-    disarm();
+    stop_timer();
     if (call == 0) {
-      forget_idle();
-      return drop();
+      remove_from_idle();
+      return close();
     }
-    Result answer{.failure = failure,
+    Result result{.failure = failure,
                   .detail = std::move(detail),
                   .response = {},
-                  .new_connection = fresh,
+                  .new_connection = is_new,
                   .request_sent = !dialling && failure != Failure::connect_failed};
-    auto tell = finish_call();
-    drop();
-    tell(std::move(answer));
+    auto callback = finish_call();
+    close();
+    callback(std::move(result));
   }
-  void drop() {
+  // Closes the connection without a result.
+  void close() {
     if (!client) return;
-    disarm();
+    stop_timer();
     client = nullptr;
     connection->close();
   }
 
-  Client* client;  // null once the link is over
+  Client* client;  // null after close()
   net::Address to;
   std::shared_ptr<net::Connection> connection;
   Parser parser;
-  CallId call = 0;
+  CallId call = 0;  // outstanding call; 0: the connection is idle
   Ms timeout_ms = 0;
-  std::function<void(std::string_view)> piece;
-  ResultCallback tell_done;
+  std::function<void(std::string_view)> on_data;
+  ResultCallback on_result;
   net::Reactor::TimerId timer{};
-  bool armed = false, dialling = false, fresh = true;
+  bool timer_active = false, dialling = false, is_new = true;
 };
 
 Client::~Client() {
-  for (auto& [call, link] : std::exchange(busy_, {})) link->drop();
-  for (auto& [to, links] : std::exchange(idle_, {}))
-    for (auto& link : links) link->drop();
+  for (auto& [call, link] : std::exchange(active_links_, {})) link->close();
+  for (auto& [to, links] : std::exchange(idle_links_, {}))
+    for (auto& link : links) link->close();
 }
 
 Client::CallId Client::send_request(net::Address to, const Message& message, Ms timeout_ms,
-                                    ResultCallback done) {
-  return start(to, message, timeout_ms, nullptr, std::move(done));
+                                    ResultCallback on_result) {
+  return start(to, message, timeout_ms, nullptr, std::move(on_result));
 }
 
-Client::CallId Client::stream_response(net::Address to, const Message& message, Ms quiet_ms,
-                                       std::function<void(std::string_view)> piece, ResultCallback done) {
-  return start(to, message, quiet_ms, std::move(piece), std::move(done));
+Client::CallId Client::stream_response(net::Address to, const Message& message, Ms idle_timeout_ms,
+                                       std::function<void(std::string_view)> on_data,
+                                       ResultCallback on_result) {
+  return start(to, message, idle_timeout_ms, std::move(on_data), std::move(on_result));
 }
 
 Client::CallId Client::start(net::Address to, const Message& message, Ms timeout_ms,
-                             std::function<void(std::string_view)> piece, ResultCallback done) {
+                             std::function<void(std::string_view)> on_data, ResultCallback on_result) {
   std::shared_ptr<Link> link;
-  if (auto kept = idle_.find(to); kept != idle_.end()) {
-    link = kept->second.back();  // the one used last is the likeliest to live
-    link->disarm();
-    link->forget_idle();
+  if (auto idle_entry = idle_links_.find(to); idle_entry != idle_links_.end()) {
+    link = idle_entry->second
+               .back();  // the connection used last is the least likely to have been closed by the peer
+    link->stop_timer();
+    link->remove_from_idle();
   } else {
     link = std::make_shared<Link>(*this, to);
     link->dial();
   }
-  link->call = next_++;
+  link->call = next_call_++;
   link->timeout_ms = timeout_ms;
-  link->piece = std::move(piece);
-  link->tell_done = std::move(done);
+  link->on_data = std::move(on_data);
+  link->on_result = std::move(on_result);
   link->parser.set_request_method(message.method);
-  busy_[link->call] = link;
+  active_links_[link->call] = link;
   CallId call = link->call;
-  link->arm();
+  link->start_timer();
   link->connection->send(serialize(message));
   return call;
 }
 
 void Client::cancel(CallId call) {
-  auto found = busy_.extract(call);
-  if (!found.empty()) found.mapped()->drop();
+  auto found = active_links_.extract(call);
+  if (!found.empty()) found.mapped()->close();
 }
 
 void Client::close_idle(net::Address to) {
-  auto found = idle_.extract(to);
+  auto found = idle_links_.extract(to);
   if (found.empty()) return;
-  for (auto& link : found.mapped()) link->drop();
+  for (auto& link : found.mapped()) link->close();
 }
 
 }  // namespace beamshunt::http
--- a/src/native_protocol/frames.cpp
+++ b/src/native_protocol/frames.cpp
@@ -5,7 +5,7 @@
 #include "base/archive.h"
 
 namespace beamshunt::native_protocol {
-// Found by argument-dependent lookup, hence not in the unnamed namespace.
+// The archive finds these functions by argument-dependent lookup, so they can't be in the unnamed namespace.
 template <class A>
 void fields(A& a, Hello& x) {
   a(x.magic, x.version, x.proxy, x.incarnation, x.attempt, x.locality, x.expected_rate, x.only_static_tables,
@@ -70,9 +70,10 @@
 
 namespace {
 
-// What the types allow and the protocol does not.
-constexpr double kMaxReportIntervalMs = 3600e3;  // a report on a longer time tells nothing of now
-constexpr std::uint8_t kMaxRetryMode = 3;        // twice
+constexpr double kMaxReportIntervalMs = 3600e3;  // longer intervals hide the current load
+constexpr std::uint8_t kMaxRetryMode = 3;        // two retries
+
+// The overloads of validation_error() check the rules that the field types do not enforce.
 const char* validation_error(const Hello& x) {
   if (x.magic != kMagic) return "not this protocol: the magic number differs";
   if (!(x.expected_rate >= 0) || std::isinf(x.expected_rate)) return "a usual rate below 0 or not finite";
@@ -81,17 +82,21 @@
 const char* validation_error(const PeerHello& x) {
   return x.magic != kMagic ? "not this protocol: the magic number differs" : nullptr;
 }
-bool sane(double x) { return std::isfinite(x) && x >= 0; }
+bool is_finite_and_non_negative(double value) { return std::isfinite(value) && value >= 0; }
 const char* validation_error(const Welcome& x) {
-  return sane(x.heartbeat_ms) && sane(x.report_period_ms) ? nullptr : "a time below 0 or not finite";
+  return is_finite_and_non_negative(x.heartbeat_ms) && is_finite_and_non_negative(x.report_period_ms)
+             ? nullptr
+             : "a time below 0 or not finite";
 }
 const char* validation_error(const UpdateMessage& x) {
-  if (!std::isfinite(x.decided_at_ms) || !sane(x.lines)) return "a time or count that is not finite";
+  if (!std::isfinite(x.decided_at_ms) || !is_finite_and_non_negative(x.lines))
+    return "a time or count that is not finite";
   for (const Update& update : x.updates) {
-    if (auto* weight = std::get_if<WeightUpdate>(&update); weight && !sane(weight->weight))
+    if (auto* weight = std::get_if<WeightUpdate>(&update);
+        weight && !is_finite_and_non_negative(weight->weight))
       return "a weight below 0 or not finite";
     if (auto* limit = std::get_if<AdmissionLimitUpdate>(&update)) {
-      if (!sane(limit->limit)) return "a level below 0 or not finite";
+      if (!is_finite_and_non_negative(limit->limit)) return "a level below 0 or not finite";
       if (limit->retry_mode > kMaxRetryMode) return "a retry mode over 3";
     }
   }
@@ -102,7 +107,7 @@
   if (!in_range) return "a span below 0 or over an hour";
   for (const EndpointReportEntry& entry : x.endpoints) {
     if (entry.failed > entry.attempts) return "more failed tries than tries";
-    if (!sane(entry.mean_latency_ms)) return "a latency below 0 or not finite";
+    if (!is_finite_and_non_negative(entry.mean_latency_ms)) return "a latency below 0 or not finite";
     for (auto& [name, value] : entry.load)
       if (!std::isfinite(value)) return "a load figure that is not finite";
   }
@@ -116,18 +121,21 @@
   return nullptr;
 }
 
-bool is_opening(std::size_t kind) {
-  return kind == Frame(Hello{}).index() || kind == Frame(PeerHello{}).index();
+// Returns whether a frame with this index in `Frame` opens a stream.
+bool is_opening(std::size_t index) {
+  return index == Frame(Hello{}).index() || index == Frame(PeerHello{}).index();
 }
 
-// Before the rest is read: another version's hello may be of another shape.
-void check_version(base::Decoder opening, std::uint64_t at) {
+// Throws ProtocolError if the peer uses another protocol version. The check precedes the decoding of the
+// payload because other versions may lay out the frame differently. `decoder` and `offset` are at the start
+// of the payload.
+void check_version(base::Decoder decoder, std::uint64_t offset) {
   std::uint32_t magic = 0;
   std::uint16_t version = 0;
-  opening(magic, version);
+  decoder(magic, version);
   if (magic == kMagic && version != kVersion)
     throw ProtocolError(
-        RefuseCode::bad_version, at + 4,
+        RefuseCode::bad_version, offset + 4,
         "protocol version " + std::to_string(version) + ", this side speaks " + std::to_string(kVersion));
 }
 
@@ -141,59 +149,59 @@
 }
 
 const char* validation_error(const Refuse& x) {
-  return sane(x.retry_after_ms) ? nullptr : "a time below 0 or not finite";
+  return is_finite_and_non_negative(x.retry_after_ms) ? nullptr : "a time below 0 or not finite";
 }
 
 std::string encode_frame(std::size_t kind, const std::string& payload) {
-  base::Encoder head;
-  head(static_cast<std::uint32_t>(payload.size()), static_cast<std::uint8_t>(kind));
-  return head.take() + payload;
+  base::Encoder header;
+  header(static_cast<std::uint32_t>(payload.size()), static_cast<std::uint8_t>(kind));
+  return header.take() + payload;
 }
 
 void FrameSplitter::append(std::string_view bytes) {
-  held_.erase(0, at_);
-  before_ += std::exchange(at_, 0);
-  held_ += bytes;
+  buffer_.erase(0, consumed_);
+  buffer_offset_ += std::exchange(consumed_, 0);
+  buffer_ += bytes;
 }
 
 std::optional<FrameSplitter::RawFrame> FrameSplitter::peek() const {
-  std::string_view left = std::string_view(held_).substr(at_);
-  if (left.size() < kFrameHeaderBytes) return std::nullopt;
-  std::uint64_t offset = before_ + at_;
-  base::Decoder head(left.substr(0, kFrameHeaderBytes));
+  std::string_view remaining = std::string_view(buffer_).substr(consumed_);
+  if (remaining.size() < kFrameHeaderBytes) return std::nullopt;
+  std::uint64_t offset = buffer_offset_ + consumed_;
+  base::Decoder header(remaining.substr(0, kFrameHeaderBytes));
   std::uint32_t size = 0;
   std::uint8_t kind = 0;
-  head(size, kind);
-  if (size > most_)
-    throw ProtocolError(
-        RefuseCode::bad_frame, offset,
-        "a frame of " + std::to_string(size) + " bytes, " + std::to_string(most_) + " are allowed");
-  if (kind == 0 || kind > kinds_)
+  header(size, kind);
+  if (size > max_payload_bytes_)
+    throw ProtocolError(RefuseCode::bad_frame, offset,
+                        "a frame of " + std::to_string(size) + " bytes, " +
+                            std::to_string(max_payload_bytes_) + " are allowed");
+  if (kind == 0 || kind > kind_count_)
     throw ProtocolError(RefuseCode::bad_frame, offset,
                         "a frame of kind " + std::to_string(kind) + ", which is unknown");
-  if (left.size() - kFrameHeaderBytes < size) return std::nullopt;
-  return RawFrame{kind, left.substr(kFrameHeaderBytes, size), offset + kFrameHeaderBytes};
+  if (remaining.size() - kFrameHeaderBytes < size) return std::nullopt;
+  return RawFrame{kind, remaining.substr(kFrameHeaderBytes, size), offset + kFrameHeaderBytes};
 }
 
 std::string encode(const Frame& frame) {
   base::Encoder payload;
-  std::visit([&](const auto& f) { payload(f); }, frame);
+  std::visit([&](const auto& message) { payload(message); }, frame);
   return encode_frame(frame.index() + 1, payload.bytes());
 }
 
 std::optional<Frame> FrameParser::next() {
-  auto piece = framing_.peek();
-  if (!piece) return std::nullopt;
-  base::Decoder payload(piece->payload);
+  auto raw_frame = splitter_.peek();
+  if (!raw_frame) return std::nullopt;
+  base::Decoder payload(raw_frame->payload);
   try {
-    if (is_opening(piece->kind - 1)) check_version(payload, piece->offset);
-    auto frame = decode_payload<Frame>(piece->kind, payload);
-    if (const char* reason = std::visit([](const auto& f) { return validation_error(f); }, frame))
+    if (is_opening(raw_frame->kind - 1)) check_version(payload, raw_frame->offset);
+    auto frame = decode_payload<Frame>(raw_frame->kind, payload);
+    if (const char* reason = std::visit([](const auto& message) { return validation_error(message); }, frame))
       payload.fail(reason);
-    framing_.consume(*piece);
+    splitter_.consume(*raw_frame);
     return frame;
   } catch (const base::DecodeError& error) {
-    throw ProtocolError(RefuseCode::bad_frame, piece->offset + error.offset, error.what());
+    throw ProtocolError(RefuseCode::bad_frame, raw_frame->offset + error.offset, error.what());
   }
 }
 
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -14,7 +14,9 @@
 namespace icl = boost::icl;
 
 std::string ip_to_string(std::uint32_t ip) { return ip::address_v4(ip).to_string(); }
-std::string to_string(Address a) { return ip_to_string(a.ip) + ":" + std::to_string(a.port); }
+std::string to_string(Address address) {
+  return ip_to_string(address.ip) + ":" + std::to_string(address.port);
+}
 
 std::optional<std::uint32_t> parse_ip(std::string_view text) {
   boost::system::error_code error;
@@ -33,10 +35,12 @@
 }
 
 struct PrefixMap::State {
-  std::map<std::pair<std::uint32_t, unsigned>, std::uint32_t> prefixes;  // network, length
+  std::map<std::pair<std::uint32_t, unsigned>, std::uint32_t>
+      prefixes;  // values by network and prefix length
   icl::interval_map<std::uint32_t, std::uint32_t, icl::partial_enricher> ranges;
 
-  void rebuild() {  // from the shortest prefix on, so that the longest has the last word
+  // Rebuilds `ranges` from the shortest prefix to the longest, so that longer prefixes override shorter ones.
+  void rebuild() {
     ranges.clear();
     for (unsigned length = 0; length <= 32; ++length)
       for (auto& [prefix, value] : prefixes) {
@@ -63,8 +67,8 @@
     return "'" + std::string(cidr) + "' has bits set behind its prefix; " + network.canonical().to_string() +
            " would do";
   std::pair key{network.address().to_uint(), static_cast<unsigned>(network.prefix_length())};
-  auto [held, fresh] = state_->prefixes.emplace(key, value);
-  if (!fresh && held->second != value) return "'" + std::string(cidr) + "' is given twice";
+  auto [existing, inserted] = state_->prefixes.emplace(key, value);
+  if (!inserted && existing->second != value) return "'" + std::string(cidr) + "' is given twice";
   state_->rebuild();
   return std::nullopt;
 }
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// IPv4 addresses, and the sets of them that settings speak of.
+// IPv4 socket addresses and a longest-prefix-match map for the address ranges in the settings.
 #pragma once
 
 #include <compare>
@@ -15,12 +15,16 @@
   std::uint16_t port = 0;
   auto operator<=>(const Address&) const = default;
 };
-std::string to_string(Address address);  // "127.0.0.1:80"
+// Formats an address as "127.0.0.1:80".
+std::string to_string(Address address);
 std::string ip_to_string(std::uint32_t ip);
+// Parses an IPv4 address in dotted decimal notation. Returns nothing if the text is malformed.
 std::optional<std::uint32_t> parse_ip(std::string_view text);
-std::optional<Address> parse_address(std::string_view text);  // "127.0.0.1:80", nothing else
+// Parses an IPv4 address and a port, for example "127.0.0.1:80". Returns nothing if the text is malformed or
+// the port is missing.
+std::optional<Address> parse_address(std::string_view text);
 
-// From addresses to small numbers by CIDR prefixes; the longest prefix wins.
+// Maps IPv4 addresses to numbers by CIDR prefix. The longest matching prefix decides.
 class PrefixMap {
  public:
   PrefixMap();
@@ -30,9 +34,10 @@
   PrefixMap(PrefixMap&&) noexcept;
   PrefixMap& operator=(PrefixMap&&) noexcept;
 
-  // Why `cidr` can't be taken in: not a prefix, host bits set, or already given to another value. Nothing if
-  // it was taken.
+  // Maps the prefix `cidr` to `value`. Returns an error message if `cidr` is not a valid prefix, has host
+  // bits set or is already mapped to another value, and nothing on success.
   std::optional<std::string> add(std::string_view cidr, std::uint32_t value);
+  // Returns the value of the longest prefix that contains `ip`, or nothing if no prefix contains it.
   std::optional<std::uint32_t> find(std::uint32_t ip) const;
 
  private:
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -16,26 +16,30 @@
 namespace beamshunt::net {
 namespace {
 
-constexpr Ms kSendOutMost = 2000;  // a peer's time to read the last words of a closing connection
-constexpr Ms kAcceptPause = 20;    // after accept() failed for want of anything but a connection
-constexpr std::size_t kReadBlock = 65536;
-constexpr int kBacklog = 4096, kIovMost = 64;
-
-sockaddr_in to_sockaddr(Address a) {
-  sockaddr_in out{};
-  out.sin_family = AF_INET;
-  out.sin_addr.s_addr = htonl(a.ip);
-  out.sin_port = htons(a.port);
-  return out;
+constexpr Ms kMaxFlushTime = 2000;    // time for the peer to read the last bytes of a connection that closes
+constexpr Ms kAcceptRetryDelay = 20;  // delay after accept() has failed for lack of resources
+constexpr std::size_t kReadBufferBytes = 65536;
+constexpr int kListenBacklog = 4096;
+constexpr int kMaxBuffersPerWrite = 64;
+
+sockaddr_in to_sockaddr(Address address) {
+  sockaddr_in native{};
+  native.sin_family = AF_INET;
+  native.sin_addr.s_addr = htonl(address.ip);
+  native.sin_port = htons(address.port);
+  return native;
+}
+Address from_sockaddr(const sockaddr_in& address) {
+  return {ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
 }
-Address from_sockaddr(const sockaddr_in& a) { return {ntohl(a.sin_addr.s_addr), ntohs(a.sin_port)}; }
 
-int stream_socket() { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
+int open_tcp_socket() { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 void set_option(int fd, int level, int name, int value) {
-  ::setsockopt(fd, level, name, &value, sizeof value);  // a refusal costs speed alone
+  // Failures are ignored: the options that are set here only affect performance.
+  ::setsockopt(fd, level, name, &value, sizeof value);
 }
 
-CloseReason reason_of(int error) {
+CloseReason close_reason_of(int error) {
   switch (error) {
     case ECONNREFUSED:
       return CloseReason::refused;
@@ -64,11 +68,11 @@
   if (options_.tls) tls_ = std::make_unique<TlsEngine>(options_.tls, options_.tls_peer_name);
 }
 
-Connection::~Connection() { drop(); }
+Connection::~Connection() { close_socket(); }
 
 std::shared_ptr<Connection> Connection::dial(Reactor& reactor, Address to, Address from,
                                              ConnectionOptions options) {
-  Fd fd(stream_socket());
+  Fd fd(open_tcp_socket());
   int error = fd ? 0 : errno;
   if (fd && from.ip != 0) {
     set_option(fd.get(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1);
@@ -81,9 +85,10 @@
     if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&target), sizeof target) != 0 && errno != EINPROGRESS)
       error = errno;
   }
-  std::shared_ptr<Connection> made(new Connection(reactor, std::move(fd), to, std::move(options), true));
-  if (error != 0) made->fail_later(reason_of(error));
-  return made;
+  std::shared_ptr<Connection> connection(
+      new Connection(reactor, std::move(fd), to, std::move(options), true));
+  if (error != 0) connection->finish_later(close_reason_of(error));
+  return connection;
 }
 
 std::shared_ptr<Connection> Connection::from_accepted_socket(Reactor& reactor, Fd fd, Address peer,
@@ -92,199 +97,204 @@
   return std::shared_ptr<Connection>(new Connection(reactor, std::move(fd), peer, std::move(options), false));
 }
 
-void Connection::fail_later(CloseReason reason) {
-  closing_ = true;  // nothing is watched any more, one report is due
+void Connection::finish_later(CloseReason reason) {
+  finish_pending_ = true;  // events are ignored from here on; only finish() is still due
   reactor_.defer([self = shared_from_this(), reason] { self->finish(reason); });
 }
 
 void Connection::start(Callbacks callbacks) {
   callbacks_ = std::make_shared<Callbacks>(std::move(callbacks));
-  if (!closing_) reactor_.watch(fd_.get(), shared_from_this());
+  if (!finish_pending_) reactor_.watch(fd_.get(), shared_from_this());
 }
 
 bool Connection::send(std::shared_ptr<const std::string> bytes) {
-  if (!fd_ || closing_ || ending_ || bytes->empty()) return static_cast<bool>(fd_);
+  if (!fd_ || finish_pending_ || shutdown_requested_ || bytes->empty()) return static_cast<bool>(fd_);
   if (!tls_) {
     enqueue(std::move(bytes));
   } else {
     try {
-      tls_->write(*bytes);
+      tls_->encrypt(*bytes);
     } catch (const TlsError&) {
-      fail_later(CloseReason::untrusted);
+      finish_later(CloseReason::untrusted);
       return false;
     }
-    enqueue(std::make_shared<const std::string>(tls_->take_wire()));
+    enqueue(std::make_shared<const std::string>(tls_->drain_output()));
   }
   if (!fd_) return false;
-  if (unsent_ <= options_.max_unsent_bytes) return true;
-  fail_later(CloseReason::peer_does_not_read);
+  if (unsent_bytes_ <= options_.max_unsent_bytes) return true;
+  finish_later(CloseReason::peer_does_not_read);
   return false;
 }
 
 void Connection::enqueue(std::shared_ptr<const std::string> bytes) {
   if (bytes->empty()) return;
-  unsent_ += bytes->size();
-  queue_.push_back(std::move(bytes));
-  if (!dialling_) write_some();
+  unsent_bytes_ += bytes->size();
+  send_queue_.push_back(std::move(bytes));
+  if (!dialling_) write_socket();
 }
 
 void Connection::shutdown_write() {
-  ending_ = true;
-  if (!dialling_) write_some();
+  shutdown_requested_ = true;
+  if (!dialling_) write_socket();
 }
 
 void Connection::close_after_flush() {
-  if (!fd_ || closing_) return;
+  if (!fd_ || finish_pending_) return;
   callbacks_.reset();
   shutdown_write();
   if (!fd_) return;
-  if (shut_ && peer_ended_) return drop();
-  reactor_.call_at(reactor_.now() + kSendOutMost, [self = shared_from_this()] { self->drop(); });
+  if (write_shut_down_ && peer_shut_down_) return close_socket();
+  reactor_.call_at(reactor_.now() + kMaxFlushTime, [self = shared_from_this()] { self->close_socket(); });
 }
 
-void Connection::close() { drop(); }
+void Connection::close() { close_socket(); }
 
 void Connection::reset() {
   if (fd_) {
-    linger hard{1, 0};
-    ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    linger immediate{1, 0};
+    ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &immediate, sizeof immediate);
   }
-  drop();
+  close_socket();
 }
 
-void Connection::drop() {
+void Connection::close_socket() {
   if (!fd_) return;
   reactor_.unwatch(fd_.get());
   fd_.reset();
-  queue_.clear();
-  unsent_ = 0;
+  send_queue_.clear();
+  unsent_bytes_ = 0;
   callbacks_.reset();
 }
 
 void Connection::finish(CloseReason reason) {
-  bool live = static_cast<bool>(fd_) || closing_;
-  auto hold = callbacks_;
-  drop();
-  closing_ = false;
-  if (live && hold && hold->on_closed) hold->on_closed(reason);
+  bool was_open = static_cast<bool>(fd_) || finish_pending_;
+  auto callbacks = callbacks_;
+  close_socket();
+  finish_pending_ = false;
+  if (was_open && callbacks && callbacks->on_closed) callbacks->on_closed(reason);
 }
 
 void Connection::read_available() {
-  if (!dialling_) read_some();
+  if (!dialling_) read_socket();
 }
 
 void Connection::set_reading_paused(bool paused) {
-  bool resumed = paused_ && !paused;
-  paused_ = paused;
-  if (resumed && fd_) reactor_.defer([self = shared_from_this()] { self->read_some(); });
+  bool resumed = reading_paused_ && !paused;
+  reading_paused_ = paused;
+  if (resumed && fd_) reactor_.defer([self = shared_from_this()] { self->read_socket(); });
 }
 
 void Connection::on_ready(std::uint32_t events) {
-  if (!fd_ || closing_) return;
+  if (!fd_ || finish_pending_) return;
   if (dialling_) {
     if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP))) return;
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return finish(reason_of(error));
+    if (error != 0) return finish(close_reason_of(error));
     dialling_ = false;
-    if (tls_) {  // `connected` is told once the peer is trusted
-      tls_->begin();
-      enqueue(std::make_shared<const std::string>(tls_->take_wire()));
-    } else if (auto hold = callbacks_; hold && hold->on_connected) {
-      hold->on_connected();
+    if (tls_) {  // `on_connected` is called once the handshake has verified the peer
+      tls_->start_handshake();
+      enqueue(std::make_shared<const std::string>(tls_->drain_output()));
+    } else if (auto callbacks = callbacks_; callbacks && callbacks->on_connected) {
+      callbacks->on_connected();
     }
     if (!fd_) return;
   }
-  if (events & EPOLLOUT) write_some();
-  if (fd_ && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) read_some();
+  if (events & EPOLLOUT) write_socket();
+  if (fd_ && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))) read_socket();
 }
 
-bool Connection::take(std::string_view bytes) {
-  std::string plain;
+bool Connection::process_received(std::string_view bytes) {
+  std::string plaintext;
   if (tls_) {
-    bool fresh = !tls_->established();
+    bool handshake_pending = !tls_->is_established();
     try {
-      plain = tls_->read(bytes);
+      plaintext = tls_->decrypt(bytes);
     } catch (const TlsError&) {
-      enqueue(std::make_shared<const std::string>(tls_->take_wire()));  // the alert that tells the peer why
+      // The TLS engine may have produced an alert that informs the peer of the failure.
+      enqueue(std::make_shared<const std::string>(tls_->drain_output()));
       finish(CloseReason::untrusted);
       return false;
     }
-    enqueue(std::make_shared<const std::string>(tls_->take_wire()));
-    if (fresh && tls_->established())
-      if (auto hold = callbacks_; hold && hold->on_connected) hold->on_connected();
-    bytes = plain;
+    enqueue(std::make_shared<const std::string>(tls_->drain_output()));
+    if (handshake_pending && tls_->is_established())
+      if (auto callbacks = callbacks_; callbacks && callbacks->on_connected) callbacks->on_connected();
+    bytes = plaintext;
   }
-  if (auto hold = callbacks_; fd_ && !closing_ && !bytes.empty() && hold && hold->on_data)
-    hold->on_data(bytes);
-  return fd_ && !closing_ && !paused_;
+  if (auto callbacks = callbacks_;
+      fd_ && !finish_pending_ && !bytes.empty() && callbacks && callbacks->on_data)
+    callbacks->on_data(bytes);
+  return fd_ && !finish_pending_ && !reading_paused_;
 }
 
-void Connection::read_some() {
-  if (!fd_ || closing_ || paused_ || peer_ended_) return;
-  char block[kReadBlock];
-  std::size_t came = 0;
-  while (came < options_.max_read_bytes_per_iteration) {
-    ssize_t n = ::read(fd_.get(), block, sizeof block);
-    if (n > 0) {
-      came += static_cast<std::size_t>(n);
-      if (!take({block, static_cast<std::size_t>(n)})) return;
+void Connection::read_socket() {
+  if (!fd_ || finish_pending_ || reading_paused_ || peer_shut_down_) return;
+  char buffer[kReadBufferBytes];
+  std::size_t received = 0;
+  while (received < options_.max_read_bytes_per_iteration) {
+    ssize_t size = ::read(fd_.get(), buffer, sizeof buffer);
+    if (size > 0) {
+      received += static_cast<std::size_t>(size);
+      if (!process_received({buffer, static_cast<std::size_t>(size)})) return;
       continue;
     }
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (n < 0) return finish(reason_of(errno));
-    peer_ended_ = true;
-    if (ending_ && shut_) return finish(CloseReason::end_of_stream);
-    if (auto hold = callbacks_; hold && hold->on_peer_shutdown) return hold->on_peer_shutdown();
+    if (size < 0 && errno == EINTR) continue;
+    if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
+    if (size < 0) return finish(close_reason_of(errno));
+    peer_shut_down_ = true;
+    if (shutdown_requested_ && write_shut_down_) return finish(CloseReason::end_of_stream);
+    if (auto callbacks = callbacks_; callbacks && callbacks->on_peer_shutdown)
+      return callbacks->on_peer_shutdown();
     return finish(CloseReason::end_of_stream);
   }
-  if (std::exchange(more_to_read_, true)) return;
-  reactor_.defer([self = shared_from_this()] {  // no edge will tell of what is left
-    self->more_to_read_ = false;
-    self->read_some();
+  if (std::exchange(read_scheduled_, true)) return;
+  // Edge-triggered epoll reports no further event for the bytes that are left in the socket.
+  reactor_.defer([self = shared_from_this()] {
+    self->read_scheduled_ = false;
+    self->read_socket();
   });
 }
 
-void Connection::write_some() {
-  while (fd_ && !queue_.empty()) {
-    iovec parts[kIovMost];
-    int count = 0;
-    std::size_t skip = front_sent_;
-    for (auto part = queue_.begin(); part != queue_.end() && count < kIovMost; ++part, skip = 0)
-      parts[count++] = {const_cast<char*>((*part)->data()) + skip, (*part)->size() - skip};
+void Connection::write_socket() {
+  while (fd_ && !send_queue_.empty()) {
+    iovec buffers[kMaxBuffersPerWrite];
+    int buffer_count = 0;
+    std::size_t offset = front_sent_bytes_;
+    for (auto buffer = send_queue_.begin(); buffer != send_queue_.end() && buffer_count < kMaxBuffersPerWrite;
+         ++buffer, offset = 0)
+      buffers[buffer_count++] = {const_cast<char*>((*buffer)->data()) + offset, (*buffer)->size() - offset};
     msghdr message{};
-    message.msg_iov = parts;
-    message.msg_iovlen = static_cast<std::size_t>(count);
-    ssize_t n = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
-    if (n < 0) return fail_later(reason_of(errno));
-    unsent_ -= static_cast<std::size_t>(n);
-    front_sent_ += static_cast<std::size_t>(n);
-    while (!queue_.empty() && front_sent_ >= queue_.front()->size()) {
-      front_sent_ -= queue_.front()->size();
-      queue_.pop_front();
+    message.msg_iov = buffers;
+    message.msg_iovlen = static_cast<std::size_t>(buffer_count);
+    ssize_t sent = ::sendmsg(fd_.get(), &message, MSG_NOSIGNAL);
+    if (sent < 0 && errno == EINTR) continue;
+    if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return;
+    if (sent < 0) return finish_later(close_reason_of(errno));
+    unsent_bytes_ -= static_cast<std::size_t>(sent);
+    front_sent_bytes_ += static_cast<std::size_t>(sent);
+    while (!send_queue_.empty() && front_sent_bytes_ >= send_queue_.front()->size()) {
+      front_sent_bytes_ -= send_queue_.front()->size();
+      send_queue_.pop_front();
     }
   }
-  if (!fd_ || !ending_ || shut_) return;
-  shut_ = true;
+  if (!fd_ || !shutdown_requested_ || write_shut_down_) return;
+  write_shut_down_ = true;
   ::shutdown(fd_.get(), SHUT_WR);
-  if (peer_ended_) fail_later(CloseReason::end_of_stream);
+  if (peer_shut_down_) finish_later(CloseReason::end_of_stream);
 }
 
 // ---- Listener ----
 
 struct Listener::Acceptor final : EventHandler, std::enable_shared_from_this<Acceptor> {
-  Acceptor(Reactor& r, AcceptCallback a, ConnectionOptions l)
-      : reactor(r), accept(std::move(a)), options(std::move(l)) {}
+  Acceptor(Reactor& event_loop, AcceptCallback on_accept, ConnectionOptions connection_options)
+      : reactor(event_loop), accept(std::move(on_accept)), options(std::move(connection_options)) {}
 
   void on_ready(std::uint32_t) override {
-    while (listening) {
+    while (listening_socket) {
       sockaddr_in peer{};
       socklen_t size = sizeof peer;
-      Fd fd(::accept4(listening.get(), reinterpret_cast<sockaddr*>(&peer), &size,
+      Fd fd(::accept4(listening_socket.get(), reinterpret_cast<sockaddr*>(&peer), &size,
                       SOCK_NONBLOCK | SOCK_CLOEXEC));
       if (fd) {
         accept(Connection::from_accepted_socket(reactor, std::move(fd), from_sockaddr(peer), options));
@@ -292,18 +302,21 @@
       }
       if (errno == EAGAIN || errno == EWOULDBLOCK) return;
       if (errno == EINTR || errno == ECONNABORTED) continue;
-      if ((errno == EMFILE || errno == ENFILE) && reserve) {
-        reserve.reset();
-        Fd shed(::accept4(listening.get(), nullptr, nullptr, SOCK_CLOEXEC));
-        bool was_one = static_cast<bool>(shed);  // the kernel takes a descriptor before it looks who waits
-        shed.reset();
-        reserve.reset(::open("/dev/null", O_RDONLY | O_CLOEXEC));
-        if (!was_one) return;
-        ++turned_away;
+      if ((errno == EMFILE || errno == ENFILE) && reserved_descriptor) {
+        reserved_descriptor.reset();
+        Fd rejected(::accept4(listening_socket.get(), nullptr, nullptr, SOCK_CLOEXEC));
+        // The kernel allocates a descriptor before it checks for waiting connections, so accept4() can report
+        // a lack of descriptors when no connection waits.
+        bool was_waiting = static_cast<bool>(rejected);
+        rejected.reset();
+        reserved_descriptor.reset(::open("/dev/null", O_RDONLY | O_CLOEXEC));
+        if (!was_waiting) return;
+        ++rejected_connections;
         continue;
       }
-      // Some other shortage. No edge comes for who waits already, so a timer looks again.
-      reactor.call_at(reactor.now() + kAcceptPause, [self = shared_from_this()] { self->on_ready(0); });
+      // Another resource is exhausted. Edge-triggered epoll reports no further event for connections that
+      // already wait, so a timer retries.
+      reactor.call_at(reactor.now() + kAcceptRetryDelay, [self = shared_from_this()] { self->on_ready(0); });
       return;
     }
   }
@@ -311,32 +324,32 @@
   Reactor& reactor;
   AcceptCallback accept;
   ConnectionOptions options;
-  Fd listening, reserve{::open("/dev/null", O_RDONLY | O_CLOEXEC)};
-  std::size_t turned_away = 0;
+  Fd listening_socket, reserved_descriptor{::open("/dev/null", O_RDONLY | O_CLOEXEC)};
+  std::size_t rejected_connections = 0;
 };
 
 Listener::Listener(Reactor& reactor, Address at, AcceptCallback accept, ConnectionOptions options)
     : reactor_(reactor), acceptor_(std::make_shared<Acceptor>(reactor, std::move(accept), options)) {
-  acceptor_->listening.reset(stream_socket());
-  int fd = acceptor_->listening.get();
+  acceptor_->listening_socket.reset(open_tcp_socket());
+  int fd = acceptor_->listening_socket.get();
   set_option(fd, SOL_SOCKET, SO_REUSEADDR, 1);
-  sockaddr_in name = to_sockaddr(at);
-  if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&name), sizeof name) != 0 ||
-      ::listen(fd, kBacklog) != 0) {
-    int error = errno;  // before the text is made, which may change it
+  sockaddr_in socket_address = to_sockaddr(at);
+  if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0 ||
+      ::listen(fd, kListenBacklog) != 0) {
+    int error = errno;  // saved because the construction of the message may change errno
     throw std::system_error(error, std::generic_category(), "cannot listen at " + to_string(at));
   }
-  socklen_t size = sizeof name;
-  ::getsockname(fd, reinterpret_cast<sockaddr*>(&name), &size);
-  address_ = from_sockaddr(name);
+  socklen_t size = sizeof socket_address;
+  ::getsockname(fd, reinterpret_cast<sockaddr*>(&socket_address), &size);
+  address_ = from_sockaddr(socket_address);
   reactor_.watch(fd, acceptor_);
 }
 
 Listener::~Listener() {
-  reactor_.unwatch(acceptor_->listening.get());
-  acceptor_->listening.reset();
+  reactor_.unwatch(acceptor_->listening_socket.get());
+  acceptor_->listening_socket.reset();
 }
 
-std::size_t Listener::rejected_connections() const { return acceptor_->turned_away; }
+std::size_t Listener::rejected_connections() const { return acceptor_->rejected_connections; }
 
 }  // namespace beamshunt::net
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -1,4 +1,5 @@
-// One epoll loop a thread, edge-triggered: readiness, timers, deferred calls, signals and wake-ups.
+// Event loop on epoll for one thread. It dispatches I/O readiness, timers, deferred calls, signals and calls
+// posted by other threads. Readiness is edge-triggered.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 using base::Ms;
 
-// Owns a file descriptor.
+// Owns a file descriptor and closes it on destruction. A negative descriptor stands for none.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
@@ -29,47 +30,61 @@
   ~Fd() { reset(); }
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
+  // Closes the owned descriptor, if any, and takes ownership of `fd`.
   void reset(int fd = -1);
 
  private:
   int fd_;
 };
 
+// Receives the I/O events of a file descriptor.
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
-  // EPOLLIN, EPOLLOUT, EPOLLRDHUP, EPOLLHUP, EPOLLERR as they came. Edge-triggered: act until EAGAIN.
+  // Handles events of the watched descriptor. `events` is the epoll mask of EPOLLIN, EPOLLOUT, EPOLLRDHUP,
+  // EPOLLHUP and EPOLLERR. Events are edge-triggered, so the handler must read or write until EAGAIN.
   virtual void on_ready(std::uint32_t events) = 0;
 };
 
+// An event loop. Only post() may be called on other threads than the one that runs the loop.
 class Reactor {
  public:
   using Callback = std::function<void()>;
   using TimerId = std::pair<Ms, std::uint64_t>;
 
-  Reactor();  // throws std::system_error
+  // Throws std::system_error if the kernel objects can't be created.
+  Reactor();
   ~Reactor();
   Reactor(const Reactor&) = delete;
   Reactor& operator=(const Reactor&) = delete;
 
-  // Watches `fd` for reading and writing until remove(fd); holds the handler for as long.
+  // Delivers the events of `fd` to `handler`, and keeps the handler alive, until unwatch(fd). Throws
+  // std::system_error.
   void watch(int fd, std::shared_ptr<EventHandler> handler);
   void unwatch(int fd);
 
-  // Calls once at `when` on the monotonic clock; in the order of the times, then of the calls.
-  TimerId call_at(Ms when, Callback call);
+  // Runs `callback` once at time `when` of the monotonic clock, in ms. Timers fire in order of their times,
+  // and timers with equal times in the order in which they were created.
+  TimerId call_at(Ms when, Callback callback);
   void cancel_timer(TimerId timer);
-  void defer(Callback call);  // before the loop sleeps again
-  void post(Callback call);   // the same, from any thread
-  void on_signal(int number, Callback call);
-  // Before any thread is started: a thread with a signal unblocked would take it the default way.
-  static void block_signals(std::initializer_list<int> numbers);
+  // Runs `callback` before the loop next blocks.
+  void defer(Callback callback);
+  // Runs `callback` like defer(). May be called from any thread.
+  void post(Callback callback);
+  // Blocks the signal for the calling thread and runs `callback` for each delivery. Throws std::system_error.
+  void on_signal(int signal_number, Callback callback);
+  // Blocks signals for the calling thread and for threads that it starts later. Call it before any thread is
+  // started: the kernel delivers a signal to any thread that has not blocked it, with the default action.
+  static void block_signals(std::initializer_list<int> signal_numbers);
 
-  Ms now() const { return now_; }  // as of this turn of the loop
-  void run();                      // until stop()
+  // Returns the monotonic time at the start of the current iteration of the loop.
+  Ms now() const { return now_; }
+  // Runs the loop until stop() is called.
+  void run();
   void stop() { running_ = false; }
-  // Longest turn since the last call: how long an event may have waited for the ones before it.
-  Ms reset_longest_iteration() { return std::exchange(longest_turn_, 0.0); }
+  // Returns the duration of the longest iteration since the last call, and starts a new measurement. An event
+  // may have waited that long for the events before it.
+  Ms reset_longest_iteration() { return std::exchange(longest_iteration_, 0.0); }
 
  private:
   void run_iteration();
@@ -78,7 +93,9 @@
   Fd epoll_, wake_, signals_;
   struct Watched {
     std::shared_ptr<EventHandler> handler;
-    std::uint32_t generation = 0;  // an event of a descriptor's former owner is not for the present one
+    // Distinguishes successive users of one descriptor number, so that a stale event does not reach a new
+    // user.
+    std::uint32_t generation = 0;
   };
   std::unordered_map<int, Watched> handlers_;
   std::uint32_t generation_ = 0;
@@ -87,9 +104,9 @@
   std::vector<Callback> deferred_;
   std::mutex posted_mutex_;
   std::vector<Callback> posted_;
-  std::map<int, Callback> signal_calls_;
+  std::map<int, Callback> signal_callbacks_;
   Ms now_ = base::monotonic_ms();
-  Ms longest_turn_ = 0;
+  Ms longest_iteration_ = 0;
   bool running_ = false;
 };
 
--- a/src/net/tls.cpp
+++ b/src/net/tls.cpp
@@ -9,17 +9,19 @@
 namespace beamshunt::net {
 namespace {
 
-[[noreturn]] void fail(const std::string& what) {
+// Throws TlsError with the oldest error in the OpenSSL queue as the cause.
+[[noreturn]] void throw_tls_error(const std::string& operation) {
   std::string cause;
   if (unsigned long code = ERR_get_error(); code != 0)
     cause = ERR_reason_error_string(code) ? ERR_reason_error_string(code) : "";
   ERR_clear_error();
-  throw TlsError(cause.empty() ? what : what + ": " + cause);
+  throw TlsError(cause.empty() ? operation : operation + ": " + cause);
 }
 
 ssl_ctx_st* make_context(const SSL_METHOD* method) {
   SSL_CTX* context = SSL_CTX_new(method);
-  if (!context || SSL_CTX_set_min_proto_version(context, TLS1_2_VERSION) != 1) fail("cannot use TLS");
+  if (!context || SSL_CTX_set_min_proto_version(context, TLS1_2_VERSION) != 1)
+    throw_tls_error("cannot create a TLS context");
   return context;
 }
 
@@ -28,28 +30,28 @@
 TlsContext::~TlsContext() { SSL_CTX_free(context_); }
 
 std::shared_ptr<const TlsContext> TlsContext::client(const std::string& ca_file) {
-  std::shared_ptr<const TlsContext> out(new TlsContext(make_context(TLS_client_method()), false));
-  SSL_CTX_set_verify(out->get(), SSL_VERIFY_PEER, nullptr);
-  if (ca_file.empty() ? SSL_CTX_set_default_verify_paths(out->get()) != 1
-                      : SSL_CTX_load_verify_locations(out->get(), ca_file.c_str(), nullptr) != 1)
-    fail("cannot read the trusted certificates " + ca_file);
-  return out;
+  std::shared_ptr<const TlsContext> context(new TlsContext(make_context(TLS_client_method()), false));
+  SSL_CTX_set_verify(context->get(), SSL_VERIFY_PEER, nullptr);
+  if (ca_file.empty() ? SSL_CTX_set_default_verify_paths(context->get()) != 1
+                      : SSL_CTX_load_verify_locations(context->get(), ca_file.c_str(), nullptr) != 1)
+    throw_tls_error("cannot read the trusted certificates " + ca_file);
+  return context;
 }
 
 std::shared_ptr<const TlsContext> TlsContext::server(const std::string& chain_file,
                                                      const std::string& key_file) {
-  std::shared_ptr<const TlsContext> out(new TlsContext(make_context(TLS_server_method()), true));
-  if (SSL_CTX_use_certificate_chain_file(out->get(), chain_file.c_str()) != 1)
-    fail("cannot read the certificate " + chain_file);
-  if (SSL_CTX_use_PrivateKey_file(out->get(), key_file.c_str(), SSL_FILETYPE_PEM) != 1 ||
-      SSL_CTX_check_private_key(out->get()) != 1)
-    fail("cannot use the key " + key_file);
-  return out;
+  std::shared_ptr<const TlsContext> context(new TlsContext(make_context(TLS_server_method()), true));
+  if (SSL_CTX_use_certificate_chain_file(context->get(), chain_file.c_str()) != 1)
+    throw_tls_error("cannot read the certificate " + chain_file);
+  if (SSL_CTX_use_PrivateKey_file(context->get(), key_file.c_str(), SSL_FILETYPE_PEM) != 1 ||
+      SSL_CTX_check_private_key(context->get()) != 1)
+    throw_tls_error("cannot use the private key " + key_file);
+  return context;
 }
 
 TlsEngine::TlsEngine(std::shared_ptr<const TlsContext> context, const std::string& name)
     : context_(std::move(context)), ssl_(SSL_new(context_->get())) {
-  if (!ssl_) fail("cannot use TLS");
+  if (!ssl_) throw_tls_error("cannot create a TLS connection");
   SSL_set_bio(ssl_, BIO_new(BIO_s_mem()), BIO_new(BIO_s_mem()));
   if (context_->is_server()) {
     SSL_set_accept_state(ssl_);
@@ -66,63 +68,66 @@
 
 TlsEngine::~TlsEngine() { SSL_free(ssl_); }
 
-void TlsEngine::begin() {
-  if (!context_->is_server()) shake();
+void TlsEngine::start_handshake() {
+  if (!context_->is_server()) continue_handshake();
 }
 
-void TlsEngine::shake() {
+void TlsEngine::continue_handshake() {
   ERR_clear_error();
-  int done = SSL_do_handshake(ssl_);
-  if (done == 1) {
+  int result = SSL_do_handshake(ssl_);
+  if (result == 1) {
     established_ = true;
-    return flush();
+    return encrypt_pending();
   }
-  int why = SSL_get_error(ssl_, done);
-  if (why == SSL_ERROR_WANT_READ || why == SSL_ERROR_WANT_WRITE) return;
-  long verdict = SSL_get_verify_result(ssl_);
-  if (verdict != X509_V_OK)
-    fail(std::string("the peer's certificate: ") + X509_verify_cert_error_string(verdict));
-  fail("the TLS handshake failed");
+  int error = SSL_get_error(ssl_, result);
+  if (error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE) return;
+  long verify_result = SSL_get_verify_result(ssl_);
+  if (verify_result != X509_V_OK)
+    throw_tls_error(std::string("the peer's certificate is not trusted: ") +
+                    X509_verify_cert_error_string(verify_result));
+  throw_tls_error("the TLS handshake failed");
 }
 
-void TlsEngine::flush() {
-  if (!established_ || waiting_.empty()) return;
+void TlsEngine::encrypt_pending() {
+  if (!established_ || pending_plaintext_.empty()) return;
   std::size_t written = 0;
-  if (SSL_write_ex(ssl_, waiting_.data(), waiting_.size(), &written) != 1) fail("cannot write TLS");
-  waiting_.erase(0, written);
+  if (SSL_write_ex(ssl_, pending_plaintext_.data(), pending_plaintext_.size(), &written) != 1)
+    throw_tls_error("cannot encrypt data");
+  pending_plaintext_.erase(0, written);
 }
 
-std::string TlsEngine::read(std::string_view wire) {
-  std::string out;
-  while (!wire.empty()) {
-    int n = BIO_write(SSL_get_rbio(ssl_), wire.data(),
-                      static_cast<int>(std::min<std::size_t>(wire.size(), 1 << 20)));
-    if (n <= 0) fail("cannot hold TLS bytes");
-    wire.remove_prefix(static_cast<std::size_t>(n));
+std::string TlsEngine::decrypt(std::string_view ciphertext) {
+  std::string plaintext;
+  while (!ciphertext.empty()) {
+    int accepted = BIO_write(SSL_get_rbio(ssl_), ciphertext.data(),
+                             static_cast<int>(std::min<std::size_t>(ciphertext.size(), 1 << 20)));
+    if (accepted <= 0) throw_tls_error("cannot buffer received TLS data");
+    ciphertext.remove_prefix(static_cast<std::size_t>(accepted));
   }
-  if (!established_) shake();
-  if (!established_) return out;
+  if (!established_) continue_handshake();
+  if (!established_) return plaintext;
   char block[16384];
   std::size_t size = 0;
   ERR_clear_error();
-  while (SSL_read_ex(ssl_, block, sizeof block, &size) == 1) out.append(block, size);
-  int why = SSL_get_error(ssl_, 0);
-  if (why != SSL_ERROR_WANT_READ && why != SSL_ERROR_ZERO_RETURN) fail("the TLS stream broke");
-  return out;
+  while (SSL_read_ex(ssl_, block, sizeof block, &size) == 1) plaintext.append(block, size);
+  int error = SSL_get_error(ssl_, 0);
+  if (error != SSL_ERROR_WANT_READ && error != SSL_ERROR_ZERO_RETURN)
+    throw_tls_error("cannot decrypt received data");
+  return plaintext;
 }
 
-void TlsEngine::write(std::string_view plain) {
-  waiting_ += plain;
-  flush();
+void TlsEngine::encrypt(std::string_view plaintext) {
+  pending_plaintext_ += plaintext;
+  encrypt_pending();
 }
 
-std::string TlsEngine::take_wire() {
-  std::string out(BIO_ctrl_pending(SSL_get_wbio(ssl_)), '\0');
-  if (!out.empty()) {
-    int n = BIO_read(SSL_get_wbio(ssl_), out.data(), static_cast<int>(out.size()));
-    out.resize(n > 0 ? static_cast<std::size_t>(n) : 0);
+std::string TlsEngine::drain_output() {
+  std::string output(BIO_ctrl_pending(SSL_get_wbio(ssl_)), '\0');
+  if (!output.empty()) {
+    int size = BIO_read(SSL_get_wbio(ssl_), output.data(), static_cast<int>(output.size()));
+    output.resize(size > 0 ? static_cast<std::size_t>(size) : 0);
   }
-  return out;
+  return output;
 }
 
 }  // namespace beamshunt::net
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -1,4 +1,5 @@
-// TLS over bytes, by OpenSSL: no sockets here. A Connection with a context speaks it, unnoticed by its users.
+// TLS on byte buffers, implemented with OpenSSL. It performs no socket I/O. A Connection whose options
+// contain a TlsContext uses it transparently.
 #pragma once
 
 #include <memory>
@@ -11,18 +12,21 @@
 
 namespace beamshunt::net {
 
+// Reports a TLS configuration error, an untrusted peer or a protocol failure.
 class TlsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Whom to trust, or what to show. TLS 1.2 at the least.
+// TLS configuration of clients or of servers: the trusted certificates or the own certificate. The minimum
+// version is TLS 1.2.
 class TlsContext {
  public:
-  // A client's: the peer must show a certificate for the name it is dialled by, signed by one in `ca_file`,
-  // or by one that the system trusts if that is empty. Throws TlsError.
+  // Creates a client context. A peer must present a certificate for the expected name, signed by a
+  // certificate in the PEM file `ca_file`, or by one that the system trusts if `ca_file` is empty. Throws
+  // TlsError.
   static std::shared_ptr<const TlsContext> client(const std::string& ca_file);
-  // A server's certificate chain and key, in PEM files. Throws TlsError.
+  // Creates a server context from a certificate chain and a private key in PEM files. Throws TlsError.
   static std::shared_ptr<const TlsContext> server(const std::string& chain_file, const std::string& key_file);
   ~TlsContext();
   ssl_ctx_st* get() const { return context_; }
@@ -34,28 +38,34 @@
   bool server_;
 };
 
-// One stream's engine. All calls throw TlsError where the peer can't be trusted or does not speak TLS.
+// TLS state of one connection. All member functions throw TlsError if the peer is not trusted or violates the
+// TLS protocol.
 class TlsEngine {
  public:
-  // `name`: the host name or IP address that a client expects in the certificate.
+  // `name` is the host name or IP address that a client expects in the certificate of the server. Servers
+  // ignore it.
   TlsEngine(std::shared_ptr<const TlsContext> context, const std::string& name);
   ~TlsEngine();
   TlsEngine(const TlsEngine&) = delete;
   TlsEngine& operator=(const TlsEngine&) = delete;
 
-  void begin();                             // a client's first words
-  std::string read(std::string_view wire);  // what the peer's bytes say
-  void write(std::string_view plain);       // kept until the handshake is done
-  std::string take_wire();                  // what is to be sent now
-  bool established() const { return established_; }
+  // Starts the handshake of a client. It does nothing for a server.
+  void start_handshake();
+  // Processes bytes received from the peer. Returns the decrypted data.
+  std::string decrypt(std::string_view ciphertext);
+  // Encrypts data for the peer. Data is buffered until the handshake has completed.
+  void encrypt(std::string_view plaintext);
+  // Returns and removes the bytes that are ready to be sent to the peer.
+  std::string drain_output();
+  bool is_established() const { return established_; }
 
  private:
-  void shake();
-  void flush();
+  void continue_handshake();
+  void encrypt_pending();
 
   std::shared_ptr<const TlsContext> context_;
   ssl_st* ssl_;
-  std::string waiting_;  // plain text that the handshake holds up
+  std::string pending_plaintext_;  // data to encrypt once the handshake has completed
   bool established_ = false;
 };
 
--- a/tests/http/tls_test.cpp
+++ b/tests/http/tls_test.cpp
@@ -1,4 +1,5 @@
-// TLS between client and server on loopback: trusted, not trusted, another's name, no TLS at all.
+// TLS between HTTP client and server on the loopback interface: trusted and untrusted certificates, a
+// certificate for another name, and peers without TLS.
 #include <gtest/gtest.h>
 #include <openssl/evp.h>
 #include <openssl/pem.h>
@@ -14,9 +15,9 @@
 namespace beamshunt::http {
 namespace {
 
-// A self-signed certificate for an address, and its key, made anew for each run.
+// A private key and a self-signed certificate for an address, generated for each run.
 struct Identity {
-  std::string chain, key;
+  std::string chain, key;  // paths of the PEM files
   explicit Identity(const std::string& name, const std::string& san) {
     auto folder = std::filesystem::temp_directory_path() / ("beamshunt-tls-" + std::to_string(::getpid()));
     std::filesystem::create_directories(folder);
@@ -39,9 +40,9 @@
       X509_EXTENSION_free(extension);
     }
     X509_sign(cert, pair, EVP_sha256());
-    auto write = [](const std::string& path, auto put) {
+    auto write = [](const std::string& path, auto write_pem) {
       std::FILE* file = std::fopen(path.c_str(), "w");
-      put(file);
+      write_pem(file);
       std::fclose(file);
     };
     write(chain, [&](std::FILE* f) { PEM_write_X509(f, cert); });
@@ -53,58 +54,64 @@
 
 class TlsTest : public ::testing::Test {
  protected:
-  Client::Result ask(Client& client, net::Address to, std::string body = {}) {
-    std::optional<Client::Result> out;
-    auto limit = reactor.call_at(reactor.now() + 10000, [&] { reactor.stop(); });
-    client.send_request(to, make_request("POST", "/x", std::move(body)), 3000, [&](Client::Result&& a) {
-      out = std::move(a);
-      reactor.stop();
-    });
+  // Sends a request and runs the loop until its result is available.
+  Client::Result post(Client& client, net::Address to, std::string body = {}) {
+    std::optional<Client::Result> result;
+    auto timeout = reactor.call_at(reactor.now() + 10000, [&] { reactor.stop(); });
+    client.send_request(to, make_request("POST", "/x", std::move(body)), 3000,
+                        [&](Client::Result&& received) {
+                          result = std::move(received);
+                          reactor.stop();
+                        });
     reactor.run();
-    reactor.cancel_timer(limit);
-    return out.value_or(Client::Result{.failure = Client::Failure::timed_out, .detail = "the test"});
+    reactor.cancel_timer(timeout);
+    return result.value_or(Client::Result{.failure = Client::Failure::timed_out, .detail = "test timeout"});
   }
   std::unique_ptr<Server> serve(std::shared_ptr<const net::TlsContext> tls) {
     Server::Options options;
     options.tls = std::move(tls);
     return std::make_unique<Server>(
         reactor, net::Address{0x7f000001, 0},
-        [](Message&& m, Responder r) { r.send(make_response(200, std::to_string(m.body.size()))); }, options);
+        [](Message&& request, Responder responder) {
+          responder.send(make_response(200, std::to_string(request.body.size())));
+        },
+        options);
   }
   net::Reactor reactor;
   Identity own{"own", "IP:127.0.0.1"}, other{"other", "IP:127.0.0.9"};
 };
 
-TEST_F(TlsTest, ATrustedServerIsSpokenToAndItsConnectionKept) {
+TEST_F(TlsTest, ClientUsesTrustedServerAndReusesItsConnection) {
   auto server = serve(net::TlsContext::server(own.chain, own.key));
   Client client(reactor, {.tls = net::TlsContext::client(own.chain), .tls_peer_name = "127.0.0.1"});
-  auto big = ask(client, server->address(), std::string(1000000, 'x'));
-  EXPECT_EQ(big.failure, Client::Failure::none) << big.detail;
-  EXPECT_EQ(big.response.body, "1000000");
-  EXPECT_FALSE(ask(client, server->address()).new_connection);
+  auto large = post(client, server->address(), std::string(1000000, 'x'));
+  EXPECT_EQ(large.failure, Client::Failure::none) << large.detail;
+  EXPECT_EQ(large.response.body, "1000000");
+  EXPECT_FALSE(post(client, server->address()).new_connection);
 }
 
-TEST_F(TlsTest, WhoIsNotTrustedOrNotByThatNameGetsNothing) {
+TEST_F(TlsTest, ClientRejectsUntrustedCertificateAndWrongName) {
   auto server = serve(net::TlsContext::server(own.chain, own.key));
-  Client stranger(reactor, {.tls = net::TlsContext::client(other.chain), .tls_peer_name = "127.0.0.1"});
-  auto a = ask(stranger, server->address());
-  EXPECT_EQ(a.failure, Client::Failure::connect_failed);
-  EXPECT_EQ(a.detail, "untrusted");
+  Client untrusting_client(reactor,
+                           {.tls = net::TlsContext::client(other.chain), .tls_peer_name = "127.0.0.1"});
+  auto result = post(untrusting_client, server->address());
+  EXPECT_EQ(result.failure, Client::Failure::connect_failed);
+  EXPECT_EQ(result.detail, "untrusted");
   auto misnamed = serve(net::TlsContext::server(other.chain, other.key));
   Client client(reactor, {.tls = net::TlsContext::client(other.chain), .tls_peer_name = "127.0.0.1"});
-  EXPECT_EQ(ask(client, misnamed->address()).detail, "untrusted");
+  EXPECT_EQ(post(client, misnamed->address()).detail, "untrusted");
 }
 
-TEST_F(TlsTest, APlainServerAndAPlainClientAreToldApart) {
+TEST_F(TlsTest, RequestFailsIfOnlyOneSideUsesTls) {
   auto plain = serve(nullptr);
   Client client(reactor, {.tls = net::TlsContext::client(own.chain), .tls_peer_name = "127.0.0.1"});
-  EXPECT_NE(ask(client, plain->address()).failure, Client::Failure::none);
+  EXPECT_NE(post(client, plain->address()).failure, Client::Failure::none);
   auto server = serve(net::TlsContext::server(own.chain, own.key));
-  Client bare(reactor, {});
-  EXPECT_NE(ask(bare, server->address()).failure, Client::Failure::none);
+  Client plain_client(reactor, {});
+  EXPECT_NE(post(plain_client, server->address()).failure, Client::Failure::none);
 }
 
-TEST_F(TlsTest, MissingFilesAreNamed) {
+TEST_F(TlsTest, UnusableFilesAreReported) {
   try {
     net::TlsContext::client("/nonexistent.pem");
     ADD_FAILURE();
--- a/tests/native_protocol/frames_test.cpp
+++ b/tests/native_protocol/frames_test.cpp
@@ -1,4 +1,4 @@
-// The order channel's frames: however the bytes are cut, whatever they are.
+// Frames of the native protocol: valid streams in arbitrary fragments, and malformed input.
 #include "native_protocol/frames.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace beamshunt::native_protocol {
 namespace {
 
-std::vector<Frame> one_of_each() {
+std::vector<Frame> one_frame_of_each_kind() {
   return {Hello{.proxy = 7, .incarnation = 9, .attempt = 2, .locality = "north", .expected_rate = 12.5},
           Welcome{.epoch = 5, .heartbeat_ms = 500, .report_period_ms = 250},
           Refuse{RefuseCode::id_in_use, 300, "proxy 7 is here"},
@@ -28,106 +28,111 @@
           PeerNote{"note"}};
 }
 
-std::vector<Frame> parsed(std::string_view bytes, std::size_t step) {
+std::vector<Frame> parse_in_fragments(std::string_view bytes, std::size_t fragment_bytes) {
   FrameParser parser;
-  std::vector<Frame> out;
-  for (std::size_t k = 0; k < bytes.size(); k += step) parser.feed(bytes.substr(k, step), out);
+  std::vector<Frame> frames;
+  for (std::size_t offset = 0; offset < bytes.size(); offset += fragment_bytes)
+    parser.feed(bytes.substr(offset, fragment_bytes), frames);
   EXPECT_EQ(parser.buffered_bytes(), 0u);
-  return out;
+  return frames;
 }
 
-TEST(Frames, ComeThroughHoweverTheyAreCut) {
+TEST(Frames, AreDecodedFromArbitraryFragments) {
   std::string bytes;
-  for (const Frame& f : one_of_each()) bytes += encode(f);
-  for (std::size_t step : {1u, 2u, 7u, 64u, 100000u}) EXPECT_EQ(parsed(bytes, step), one_of_each()) << step;
+  for (const Frame& frame : one_frame_of_each_kind()) bytes += encode(frame);
+  for (std::size_t fragment_bytes : {1u, 2u, 7u, 64u, 100000u})
+    EXPECT_EQ(parse_in_fragments(bytes, fragment_bytes), one_frame_of_each_kind()) << fragment_bytes;
 }
 
-TEST(Frames, FaultsNameTheirOffset) {
-  auto fault = [](std::string bytes, std::size_t before = 0) -> std::pair<RefuseCode, std::uint64_t> {
+TEST(Frames, ProtocolErrorReportsItsStreamOffset) {
+  auto error_of = [](std::string bytes,
+                     std::size_t min_preceding_bytes = 0) -> std::pair<RefuseCode, std::uint64_t> {
     FrameParser parser(1000);
-    std::vector<Frame> out;
-    std::string lead;
-    while (lead.size() < before) lead += encode(Ping{1});
-    parser.feed(lead, out);
+    std::vector<Frame> frames;
+    std::string preceding_frames;
+    while (preceding_frames.size() < min_preceding_bytes) preceding_frames += encode(Ping{1});
+    parser.feed(preceding_frames, frames);
     try {
-      parser.feed(bytes, out);
+      parser.feed(bytes, frames);
     } catch (const ProtocolError& error) {
-      return {error.code, error.offset - lead.size()};
+      return {error.code, error.offset - preceding_frames.size()};
     }
     return {RefuseCode{}, 0};
   };
-  EXPECT_EQ(fault(std::string("\x00\x10\x00\x00\x01", 5), 50),
+  EXPECT_EQ(error_of(std::string("\x00\x10\x00\x00\x01", 5), 50),
             std::pair(RefuseCode::bad_frame, std::uint64_t{0}));
-  EXPECT_EQ(fault(std::string("\x00\x00\x00\x00\x63", 5)),
+  EXPECT_EQ(error_of(std::string("\x00\x00\x00\x00\x63", 5)),
             std::pair(RefuseCode::bad_frame, std::uint64_t{0}));
-  EXPECT_EQ(fault(std::string("\x00\x00\x00\x02\x07\x01\x01", 7), 13),
+  EXPECT_EQ(error_of(std::string("\x00\x00\x00\x02\x07\x01\x01", 7), 13),
             std::pair(RefuseCode::bad_frame, std::uint64_t{5}));
   std::string other_version = encode(Hello{.version = 9});
-  EXPECT_EQ(fault(other_version), std::pair(RefuseCode::bad_version, std::uint64_t{9}));
-  EXPECT_EQ(fault(other_version.substr(0, 5 + 6) + std::string(60, 'x')).first, RefuseCode::bad_version);
-  EXPECT_EQ(fault(encode(Hello{.magic = 1})).first, RefuseCode::bad_frame);
+  EXPECT_EQ(error_of(other_version), std::pair(RefuseCode::bad_version, std::uint64_t{9}));
+  EXPECT_EQ(error_of(other_version.substr(0, 5 + 6) + std::string(60, 'x')).first, RefuseCode::bad_version);
+  EXPECT_EQ(error_of(encode(Hello{.magic = 1})).first, RefuseCode::bad_frame);
 }
 
-TEST(Frames, ImpossibleFiguresAreRefused) {
-  const Frame kBad[] = {Hello{.expected_rate = -1},
-                        Hello{.expected_rate = NAN},
-                        UpdateMessage{1, 0, 1, {WeightUpdate{.weight = -0.5}}},
-                        UpdateMessage{1, 0, 1, {AdmissionLimitUpdate{.limit = INFINITY}}},
-                        UpdateMessage{1, 0, 1, {AdmissionLimitUpdate{.retry_mode = 4}}},
-                        LoadReportMessage{1, 250, {{1, 1, 2, 0, {}}}, {}},
-                        LoadReportMessage{1, -1, {}, {}},
-                        LoadReportMessage{1, 250, {{1, 1, 0, 1, {{"utilization", NAN}}}}, {}},
-                        LoadReportMessage{1, 3600001, {}, {}},
-                        PeerNote{std::string(257, 'x')}};
-  for (const Frame& f : kBad) {
+TEST(Frames, InvalidValuesAreRejected) {
+  const Frame kInvalidFrames[] = {Hello{.expected_rate = -1},
+                                  Hello{.expected_rate = NAN},
+                                  UpdateMessage{1, 0, 1, {WeightUpdate{.weight = -0.5}}},
+                                  UpdateMessage{1, 0, 1, {AdmissionLimitUpdate{.limit = INFINITY}}},
+                                  UpdateMessage{1, 0, 1, {AdmissionLimitUpdate{.retry_mode = 4}}},
+                                  LoadReportMessage{1, 250, {{1, 1, 2, 0, {}}}, {}},
+                                  LoadReportMessage{1, -1, {}, {}},
+                                  LoadReportMessage{1, 250, {{1, 1, 0, 1, {{"utilization", NAN}}}}, {}},
+                                  LoadReportMessage{1, 3600001, {}, {}},
+                                  PeerNote{std::string(257, 'x')}};
+  for (const Frame& frame : kInvalidFrames) {
     FrameParser parser;
-    std::vector<Frame> out;
-    EXPECT_THROW(parser.feed(encode(f), out), ProtocolError) << frame_kind_name(f);
+    std::vector<Frame> frames;
+    EXPECT_THROW(parser.feed(encode(frame), frames), ProtocolError) << frame_kind_name(frame);
   }
 }
 
-// A request may come in one report's span and end in the next one's.
-TEST(Frames, MoreMayEndThanCame) {
+// A request may arrive in the interval of one load report and end in the interval of the next, so a report
+// may contain more ended requests than arrivals.
+TEST(Frames, LoadReportMayContainMoreEndedRequestsThanArrivals) {
   FrameParser parser;
-  std::vector<Frame> out;
-  parser.feed(encode(LoadReportMessage{1, 250, {}, {{0, 1, 2, 3}}}), out);
-  EXPECT_EQ(out.size(), 1u);
+  std::vector<Frame> frames;
+  parser.feed(encode(LoadReportMessage{1, 250, {}, {{0, 1, 2, 3}}}), frames);
+  EXPECT_EQ(frames.size(), 1u);
 }
 
-// Seeded mutations of valid streams: parsed or refused, memory bounded, never anything else. The sanitizers
-// of the CI build watch.
-TEST(Frames, MutatedStreamsAreParsedOrRefused) {
+// Applies seeded mutations to a valid stream. The parser must decode it or throw ProtocolError, within a
+// bound on its buffer. The sanitizers of the CI build detect memory errors.
+TEST(Frames, MutatedStreamIsDecodedOrRejected) {
   std::string bytes;
-  for (const Frame& f : one_of_each()) bytes += encode(f);
+  for (const Frame& frame : one_frame_of_each_kind()) bytes += encode(frame);
   test::Draw draw(7);
-  int refused = 0;
-  for (int round = 0; round < 20000; ++round) {
+  int rejected = 0;
+  for (int iteration = 0; iteration < 20000; ++iteration) {
     std::string mutated = bytes;
     for (std::size_t k = 0; k <= draw(4); ++k) {
-      std::size_t at = draw(mutated.size());
+      std::size_t position = draw(mutated.size());
       switch (draw(3)) {
         case 0:
-          mutated[at] = static_cast<char>(draw(256));
+          mutated[position] = static_cast<char>(draw(256));
           break;
         case 1:
-          mutated.erase(at, draw(9));
+          mutated.erase(position, draw(9));
           break;
         default:
-          mutated.insert(at, draw(9), static_cast<char>(draw(256)));
+          mutated.insert(position, draw(9), static_cast<char>(draw(256)));
       }
     }
     FrameParser parser(4096);
-    std::vector<Frame> out;
+    std::vector<Frame> frames;
     try {
-      std::size_t step = 1 + draw(97);
-      for (std::size_t k = 0; k < mutated.size(); k += step) parser.feed(mutated.substr(k, step), out);
+      std::size_t fragment_bytes = 1 + draw(97);
+      for (std::size_t k = 0; k < mutated.size(); k += fragment_bytes)
+        parser.feed(mutated.substr(k, fragment_bytes), frames);
     } catch (const ProtocolError& error) {
-      ++refused;
+      ++rejected;
       EXPECT_LE(error.offset, mutated.size());
     }
     EXPECT_LE(parser.buffered_bytes(), 4096u + kFrameHeaderBytes + 97);
   }
-  EXPECT_GT(refused, 10000);
+  EXPECT_GT(rejected, 10000);
 }
 
 }  // namespace
