--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,5 +1,5 @@
 // HTTP/1.1 messages and an incremental parser for them (RFC 9112). All parts of a message are limited in
-// size. This header performs no I/O.
+// size. The functions perform no I/O.
 #pragma once
 
 #include <cstddef>
@@ -68,7 +68,7 @@
   void set_request_method(std::string_view method) { no_body_ = method == "HEAD"; }
   // Returns the status of the response whose body is being parsed.
   int status() const { return message_.status; }
-  // Returns whether the parser has received no part of a next message.
+  // Returns whether the parser is between messages, with no bytes of the next one received.
   bool between_messages() const { return state_ == State::start_line && line_.empty(); }
 
  private:
@@ -99,8 +99,8 @@
   State state_ = State::start_line;
   Message message_;
   std::string line_;
-  std::uint64_t parsed_bytes_ = 0,
-                remaining_bytes_ = 0;  // remaining: bytes left in the current body or chunk
+  std::uint64_t parsed_bytes_ = 0;     // bytes since the construction of the parser
+  std::uint64_t remaining_bytes_ = 0;  // bytes left in the current body or chunk
   std::size_t head_bytes_ = 0, body_bytes_ = 0;
   bool no_body_ = false;
 };
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -10,7 +10,7 @@
   std::weak_ptr<Server::Session> session;
   net::Address peer;
   std::string output;  // encoded response bytes that wait for the responses to earlier requests
-  bool keep_alive = true, done = false;
+  bool keep_alive = true, complete = false;
   ~Exchange();
 };
 
@@ -42,7 +42,7 @@
       auto exchange = open_exchange();
       exchange->keep_alive = false;
       exchange->output = serialize(error_response);
-      exchange->done = true;
+      exchange->complete = true;
       flush();
     }
   }
@@ -66,7 +66,7 @@
       auto front = pending.front().lock();
       if (!front) return reset();  // all copies of the responder were destroyed
       if (!front->output.empty() && !connection->send(std::exchange(front->output, {}))) return;
-      if (!front->done) return;
+      if (!front->complete) return;
       pending.pop_front();
       if (!front->keep_alive) {
         auto closing = connection;
@@ -102,18 +102,18 @@
 };
 
 Responder::Exchange::~Exchange() {
-  if (done) return;
+  if (complete) return;
   if (auto active_session = session.lock(); active_session && active_session->server) active_session->reset();
 }
 
 void Responder::send(const Message& message) const {
   auto& exchange = *exchange_;
-  if (exchange.done) return;
+  if (exchange.complete) return;
   Message copy = message;
   copy.keep_alive &= exchange.keep_alive;
   exchange.keep_alive = copy.keep_alive;
   exchange.output = serialize(copy);
-  exchange.done = true;
+  exchange.complete = true;
   if (auto active_session = exchange.session.lock(); active_session && active_session->server)
     active_session->flush();
 }
@@ -135,15 +135,15 @@
 }
 
 void Responder::end_stream() const {
-  if (exchange_->done) return;
+  if (exchange_->complete) return;
   exchange_->output += encode_chunk({});
-  exchange_->done = true;
+  exchange_->complete = true;
   if (auto active_session = exchange_->session.lock(); active_session && active_session->server)
     active_session->flush();
 }
 
 void Responder::reset() const {
-  exchange_->done = true;
+  exchange_->complete = true;
   if (auto active_session = exchange_->session.lock(); active_session && active_session->server)
     active_session->reset();
 }
@@ -155,10 +155,10 @@
 
 net::Address Responder::peer() const { return exchange_->peer; }
 
-Server::Server(net::Reactor& reactor, net::Address at, RequestHandler handler, Options options)
+Server::Server(net::Reactor& reactor, net::Address bind_address, RequestHandler handler, Options options)
     : reactor_(reactor), handler_(std::move(handler)), options_(std::move(options)) {
   listener_ = std::make_unique<net::Listener>(
-      reactor_, at,
+      reactor_, bind_address,
       [this](std::shared_ptr<net::Connection> connection) {
         if (options_.accept_peer && !options_.accept_peer(connection->peer())) return connection->close();
         auto session = std::make_shared<Session>(*this, std::move(connection));
@@ -229,8 +229,8 @@
     if (client) fail(Failure::connection_lost, "ended");
   }
   bool on_body(std::string_view part) override {
-    // Only the body of a successful response is streamed. Other bodies are returned in the result, with their
-    // status.
+    // Only the body of a response with status 200 is streamed. Other bodies are returned in the result, with
+    // their status.
     if (!on_data || parser.status() != 200) return false;
     auto callback = on_data;
     callback(part);
@@ -337,8 +337,8 @@
                              std::function<void(std::string_view)> on_data, ResultCallback on_result) {
   std::shared_ptr<Link> link;
   if (auto idle_entry = idle_links_.find(to); idle_entry != idle_links_.end()) {
-    link = idle_entry->second
-               .back();  // the connection used last is the least likely to have been closed by the peer
+    // The connection used last is the least likely to have been closed by the peer.
+    link = idle_entry->second.back();
     link->stop_timer();
     link->remove_from_idle();
   } else {
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -48,18 +48,18 @@
   using RequestHandler = std::function<void(Message&& request, Responder responder)>;
   struct Options {
     Limits limits{};
-    std::size_t max_pipelined_requests =
-        64;  // unanswered requests of a connection at which reading is paused
+    // Number of unanswered requests on a connection at which the server pauses reading from it.
+    std::size_t max_pipelined_requests = 64;
     std::shared_ptr<const net::TlsContext> tls{};  // TLS configuration; null: plain HTTP
-    // Returns whether to accept a connection from this peer; other connections are closed at once. Empty:
-    // accept all.
+    // Returns whether to accept a connection from this peer; other connections are closed at once. An empty
+    // function accepts all peers.
     std::function<bool(net::Address)> accept_peer{};
     // Called for each malformed request. The server answers it with an error status and closes the
     // connection.
     std::function<void(net::Address, const ParseError&)> on_malformed_request{};
   };
-  // Starts to listen on `at`. Throws std::system_error.
-  Server(net::Reactor& reactor, net::Address at, RequestHandler handler, Options options);
+  // Listens on `bind_address`. Throws std::system_error.
+  Server(net::Reactor& reactor, net::Address bind_address, RequestHandler handler, Options options);
   ~Server();
   net::Address address() const { return listener_->address(); }
   // Resets all open connections.
@@ -83,7 +83,7 @@
   enum class Failure { none, connect_failed, timed_out, connection_lost, malformed };
   struct Result {
     Failure failure = Failure::none;
-    std::string detail;           // cause of the failure, empty on success
+    std::string detail;           // cause of the failure; empty on success
     Message response;             // empty on failure
     bool new_connection = false;  // true: the connection was opened for this request
     bool request_sent = false;    // true: the request was written to an established connection
--- a/src/native_protocol/frames.h
+++ b/src/native_protocol/frames.h
@@ -32,21 +32,22 @@
 constexpr std::size_t kMaxPayloadBytes = std::size_t{4} * 1048576;
 
 // ---- Handshake ----
-// Opens a stream. Sent by the proxy to the assigner.
+// Opens a stream from a proxy to an assigner. The proxy sends it as the first frame.
 struct Hello {
   std::uint32_t magic = kMagic;
   std::uint16_t version = kVersion;
   std::uint32_t proxy = 0;
   std::uint64_t incarnation = 0;  // random number drawn at each start of the proxy
-  std::uint32_t attempt = 0;      // streams opened in this incarnation; a later stream replaces earlier ones
-  std::string locality;           // must match the locality that the assigner configures for the peer address
-  double expected_rate = 0;       // requests per second; 0: unknown
+  // Number of streams opened by this incarnation. A stream with a higher number replaces earlier streams.
+  std::uint32_t attempt = 0;
+  std::string locality;      // must match the locality that the assigner configures for the peer address
+  double expected_rate = 0;  // requests per second; 0: unknown
   bool only_static_tables = false;     // true: no table of the proxy was assigned by an assigner
   std::uint64_t applied_epoch = 0;     // epoch of the assigner whose updates are applied; 0: none
   std::uint64_t applied_sequence = 0;  // last update message of `applied_epoch` that the proxy applied
   bool operator==(const Hello&) const = default;
 };
-// Accepts a Hello. Sent by the assigner, and repeated when one of the periods changes.
+// The assigner's answer to Hello. The assigner sends it again when one of the periods changes.
 struct Welcome {
   std::uint16_t version = kVersion;
   std::uint64_t epoch = 0;      // number of the assigner's run, which increases at each start
@@ -169,7 +170,7 @@
   std::uint64_t token = 0;
   bool operator==(const Pong&) const = default;
 };
-// Opens a stream between assigners. Sent by the side that opened the connection.
+// Opens a stream between assigners. The side that opened the connection sends it as the first frame.
 struct PeerHello {
   std::uint32_t magic = kMagic;
   std::uint16_t version = kVersion;
@@ -211,6 +212,7 @@
     std::string_view payload;  // valid until the next append()
     std::uint64_t offset = 0;  // position of the payload in the stream, in bytes
   };
+  // Sets the payload limit for frames that peek() has not yet returned.
   void set_max_payload_bytes(std::size_t max_payload_bytes) { max_payload_bytes_ = max_payload_bytes; }
   // Appends received bytes to the buffer.
   void append(std::string_view bytes);
@@ -269,7 +271,7 @@
  public:
   explicit FrameParser(std::size_t max_payload_bytes = kMaxPayloadBytes)
       : splitter_(max_payload_bytes, std::variant_size_v<Frame>) {}
-  // Changes the payload limit for the frames that next() has not yet returned.
+  // Sets the payload limit for frames that next() has not yet returned.
   void set_max_payload_bytes(std::size_t max_payload_bytes) {
     splitter_.set_max_payload_bytes(max_payload_bytes);
   }
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -35,8 +35,8 @@
 }
 
 struct PrefixMap::State {
-  std::map<std::pair<std::uint32_t, unsigned>, std::uint32_t>
-      prefixes;  // values by network and prefix length
+  // Values by network and prefix length.
+  std::map<std::pair<std::uint32_t, unsigned>, std::uint32_t> prefixes;
   icl::interval_map<std::uint32_t, std::uint32_t, icl::partial_enricher> ranges;
 
   // Rebuilds `ranges` from the shortest prefix to the longest, so that longer prefixes override shorter ones.
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -248,10 +248,10 @@
       return callbacks->on_peer_shutdown();
     return finish(CloseReason::end_of_stream);
   }
-  if (std::exchange(read_scheduled_, true)) return;
+  if (std::exchange(read_deferred_, true)) return;
   // Edge-triggered epoll reports no further event for the bytes that are left in the socket.
   reactor_.defer([self = shared_from_this()] {
-    self->read_scheduled_ = false;
+    self->read_deferred_ = false;
     self->read_socket();
   });
 }
@@ -328,16 +328,16 @@
   std::size_t rejected_connections = 0;
 };
 
-Listener::Listener(Reactor& reactor, Address at, AcceptCallback accept, ConnectionOptions options)
+Listener::Listener(Reactor& reactor, Address bind_address, AcceptCallback accept, ConnectionOptions options)
     : reactor_(reactor), acceptor_(std::make_shared<Acceptor>(reactor, std::move(accept), options)) {
   acceptor_->listening_socket.reset(open_tcp_socket());
   int fd = acceptor_->listening_socket.get();
   set_option(fd, SOL_SOCKET, SO_REUSEADDR, 1);
-  sockaddr_in socket_address = to_sockaddr(at);
+  sockaddr_in socket_address = to_sockaddr(bind_address);
   if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) != 0 ||
       ::listen(fd, kListenBacklog) != 0) {
     int error = errno;  // saved because the construction of the message may change errno
-    throw std::system_error(error, std::generic_category(), "cannot listen at " + to_string(at));
+    throw std::system_error(error, std::generic_category(), "cannot listen at " + to_string(bind_address));
   }
   socklen_t size = sizeof socket_address;
   ::getsockname(fd, reinterpret_cast<sockaddr*>(&socket_address), &size);
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -15,7 +15,8 @@
 namespace beamshunt::net {
 
 struct ConnectionOptions {
-  // Bytes that may wait to be sent. A connection whose peer reads too slowly to stay within it is closed.
+  // Bytes that may wait to be sent. A connection whose peer does not read fast enough to stay below the limit
+  // is closed.
   std::size_t max_unsent_bytes = std::size_t{8} * 1048576;
   // Bytes read from a connection in one iteration of the loop, so that busy connections do not starve others.
   std::size_t max_read_bytes_per_iteration = std::size_t{256} * 1024;
@@ -114,10 +115,10 @@
   std::shared_ptr<Callbacks> callbacks_;
   std::unique_ptr<TlsEngine> tls_;
   std::deque<std::shared_ptr<const std::string>> send_queue_;
-  std::size_t front_sent_bytes_ = 0,
-              unsent_bytes_ = 0;  // sent bytes of the front buffer; unsent bytes of all buffers
+  std::size_t front_sent_bytes_ = 0;  // bytes of the first queued buffer that were sent
+  std::size_t unsent_bytes_ = 0;      // unsent bytes of all queued buffers
   bool dialling_ = false, shutdown_requested_ = false, finish_pending_ = false, reading_paused_ = false,
-       peer_shut_down_ = false, write_shut_down_ = false, read_scheduled_ = false;
+       peer_shut_down_ = false, write_shut_down_ = false, read_deferred_ = false;
 };
 
 // Listens on an address and accepts connections until it is destroyed. If the process has no free file
@@ -126,9 +127,9 @@
 class Listener final {
  public:
   using AcceptCallback = std::function<void(std::shared_ptr<Connection>)>;
-  // Listens on `at`. For port 0 the kernel selects a free port, which address() returns. `accept` is called
-  // with each new connection. Throws std::system_error.
-  Listener(Reactor& reactor, Address at, AcceptCallback accept, ConnectionOptions options = {});
+  // Listens on `bind_address`. For port 0 the kernel selects a free port, which address() returns. `accept`
+  // is called with each new connection. Throws std::system_error.
+  Listener(Reactor& reactor, Address bind_address, AcceptCallback accept, ConnectionOptions options = {});
   ~Listener();
   Address address() const { return address_; }
   // Returns the number of connections closed for lack of file descriptors.
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -42,25 +42,26 @@
   fd_ = fd;
 }
 
-Reactor::Reactor() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  if (!epoll_ || !wake_) throw_errno("cannot create the event loop");
-  watch(wake_.get(), std::make_shared<RecordReader>(wake_.get(), sizeof(std::uint64_t), [](const char*) {}));
+Reactor::Reactor()
+    : epoll_fd_(::epoll_create1(EPOLL_CLOEXEC)), wakeup_fd_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  if (!epoll_fd_ || !wakeup_fd_) throw_errno("cannot create the event loop");
+  watch(wakeup_fd_.get(),
+        std::make_shared<RecordReader>(wakeup_fd_.get(), sizeof(std::uint64_t), [](const char*) {}));
 }
 
 void Reactor::watch(int fd, std::shared_ptr<EventHandler> handler) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = std::uint64_t{++generation_} << 32 | static_cast<std::uint32_t>(fd);
-  if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0)
+  if (::epoll_ctl(epoll_fd_.get(), EPOLL_CTL_ADD, fd, &event) != 0)
     throw_errno("cannot add a file descriptor to epoll");
   handlers_[fd] = {std::move(handler), generation_};
 }
 
 void Reactor::unwatch(int fd) {
-  // Extracted first: the destructor of the handler may run at the end of this function and call unwatch()
-  // again.
+  // The entry is removed before its handler is destroyed, because the destructor may call unwatch() again.
   auto watched = handlers_.extract(fd);
-  if (!watched.empty()) ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
+  if (!watched.empty()) ::epoll_ctl(epoll_fd_.get(), EPOLL_CTL_DEL, fd, nullptr);
 }
 
 Reactor::~Reactor() {
@@ -87,7 +88,7 @@
   }
   std::uint64_t one = 1;
   // A write that fails because the counter is full needs no retry: the loop is already due to wake up.
-  [[maybe_unused]] ssize_t written = ::write(wake_.get(), &one, sizeof one);
+  [[maybe_unused]] ssize_t written = ::write(wakeup_fd_.get(), &one, sizeof one);
 }
 
 void Reactor::on_signal(int signal_number, Callback callback) {
@@ -96,11 +97,11 @@
   sigemptyset(&set);
   for (auto& [number, registered] : signal_callbacks_) sigaddset(&set, number);
   block_signals({signal_number});
-  bool is_first = !signals_;
-  int fd = ::signalfd(signals_.get(), &set, SFD_NONBLOCK | SFD_CLOEXEC);
+  bool is_first = !signal_fd_;
+  int fd = ::signalfd(signal_fd_.get(), &set, SFD_NONBLOCK | SFD_CLOEXEC);
   if (fd < 0) throw_errno("cannot create a signalfd");
   if (!is_first) return;
-  signals_.reset(fd);
+  signal_fd_.reset(fd);
   watch(fd, std::make_shared<RecordReader>(fd, sizeof(signalfd_siginfo), [this](const char* record) {
           auto received = reinterpret_cast<const signalfd_siginfo*>(record)->ssi_signo;
           if (auto found = signal_callbacks_.find(static_cast<int>(received));
@@ -134,7 +135,7 @@
   else if (!timers_.empty())
     wait_ms = static_cast<int>(
         std::clamp(std::ceil(timers_.begin()->first.first - base::monotonic_ms()), 0.0, 60000.0));
-  int event_count = ::epoll_wait(epoll_.get(), events, kMaxEvents, wait_ms);
+  int event_count = ::epoll_wait(epoll_fd_.get(), events, kMaxEvents, wait_ms);
   if (event_count < 0 && errno != EINTR) throw_errno("epoll_wait failed");
   now_ = base::monotonic_ms();
   Ms started_at = now_;
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -90,7 +90,7 @@
   void run_iteration();
   void run_deferred();
 
-  Fd epoll_, wake_, signals_;
+  Fd epoll_fd_, wakeup_fd_, signal_fd_;
   struct Watched {
     std::shared_ptr<EventHandler> handler;
     // Distinguishes successive users of one descriptor number, so that a stale event does not reach a new
--- a/src/net/tls.h
+++ b/src/net/tls.h
@@ -18,8 +18,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// TLS configuration of clients or of servers: the trusted certificates or the own certificate. The minimum
-// version is TLS 1.2.
+// TLS configuration of clients or of servers: the certificates to trust or the certificate to present. The
+// minimum version is TLS 1.2.
 class TlsContext {
  public:
   // Creates a client context. A peer must present a certificate for the expected name, signed by a
@@ -30,12 +30,12 @@
   static std::shared_ptr<const TlsContext> server(const std::string& chain_file, const std::string& key_file);
   ~TlsContext();
   ssl_ctx_st* get() const { return context_; }
-  bool is_server() const { return server_; }
+  bool is_server() const { return is_server_; }
 
  private:
-  TlsContext(ssl_ctx_st* context, bool server) : context_(context), server_(server) {}
+  TlsContext(ssl_ctx_st* context, bool is_server) : context_(context), is_server_(is_server) {}
   ssl_ctx_st* context_;
-  bool server_;
+  bool is_server_;
 };
 
 // TLS state of one connection. All member functions throw TlsError if the peer is not trusted or violates the
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -1,5 +1,5 @@
-// Connections, listeners and timers on the loopback interface: half-close, reset, slow readers and exhausted
-// file descriptors. Also address parsing and prefix maps.
+// Tests of connections, listeners, timers, address parsing and prefix maps on the loopback interface. They
+// include half-closed and reset connections, peers that do not read, and exhausted file descriptors.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -16,7 +16,7 @@
 
 class NetTest : public ::testing::Test {
  protected:
-  // Runs the loop until `done` returns true, for at most 10 s. Returns whether it did not time out.
+  // Runs the loop until `done` returns true, for at most 10 s. Returns false if the time limit is reached.
   template <typename Done>
   bool run_until(Done done) {
     bool expired = false;
