--- a/fuzz/platform.cpp
+++ b/fuzz/platform.cpp
@@ -1,7 +1,7 @@
 // Arbitrary bytes as fragmented platform messages, objects of the discovery service, load reports and
 // configurations.
 #include "platform/configuration.h"
-#include "platform/directory.h"
+#include "platform/endpoint_catalog.h"
 #include "platform/message.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
@@ -13,7 +13,7 @@
   try {
     for (std::size_t offset = 0, fragment_bytes = 1; offset < size;
          offset += fragment_bytes, fragment_bytes = fragment_bytes * 2 % 61 + 1) {
-      reader.push(bytes.substr(offset, fragment_bytes));
+      reader.append(bytes.substr(offset, fragment_bytes));
       while (auto line = reader.next()) {
         if (line->size() > kMaxLineBytes) __builtin_trap();
         try {
@@ -26,9 +26,9 @@
   }
   static_cast<void>(platform::parse_load_report(bytes));
   try {
-    platform::Directory directory;
-    for (const ListedEndpoint& endpoint : directory.apply(bytes, names, 0, 0).list.entries)
-      if (!directory.uid(endpoint.id)) __builtin_trap();
+    platform::EndpointCatalog catalog;
+    for (const ListedEndpoint& endpoint : catalog.apply(bytes, names, 0, 0).list.entries)
+      if (!catalog.uid(endpoint.id)) __builtin_trap();
   } catch (const platform::EndpointListError&) {
   }
   try {
--- a/src/native_protocol/frames.cpp
+++ b/src/native_protocol/frames.cpp
@@ -155,7 +155,7 @@
 std::string encode_frame(std::size_t kind, const std::string& payload) {
   base::Encoder header;
   header(static_cast<std::uint32_t>(payload.size()), static_cast<std::uint8_t>(kind));
-  return header.take() + payload;
+  return header.release() + payload;
 }
 
 void FrameSplitter::append(std::string_view bytes) {
--- a/src/native_protocol/frames.h
+++ b/src/native_protocol/frames.h
@@ -242,7 +242,7 @@
     if (kind != K + 1) return decode_payload<Variant, K + 1>(kind, decoder);
     std::variant_alternative_t<K, Variant> frame;
     decoder(frame);
-    decoder.end();
+    decoder.expect_end();
     return frame;
   } else {
     decoder.fail("a frame of kind " + std::to_string(kind) + ", which is unknown");
--- a/src/platform/update_writer.cpp
+++ b/src/platform/update_writer.cpp
@@ -12,7 +12,7 @@
 namespace beamshunt::platform {
 namespace {
 
-ClassMask mask_of(ClassId request_class) { return ClassMask{1} << base::raw(request_class); }
+ClassMask mask_of(ClassId request_class) { return ClassMask{1} << base::to_underlying(request_class); }
 
 // The part that may take one more update for exactly these classes, a new one if there is none. A proxy
 // applies parts in their order, so an update may not join a part before a later one that concerns one of the
@@ -56,7 +56,7 @@
 
 void UpdateWriter::write_update(ProxyId proxy, const assignments::WeightChanged& update) {
   // A proxy ends a stream that names an endpoint which discovery never listed.
-  const std::string* uid = directory_.uid(update.endpoint);
+  const std::string* uid = catalog_.uid(update.endpoint);
   if (uid == nullptr) return;
   UpdatePart& part =
       part_for(messages_[proxy], tables_.classes_using(proxy, update.table),
@@ -77,7 +77,7 @@
 }
 
 void UpdateWriter::write_update(ProxyId proxy, const assignments::EndpointExcluded& update) {
-  const std::string* uid = directory_.uid(update.endpoint);
+  const std::string* uid = catalog_.uid(update.endpoint);
   if (uid == nullptr) return;
   UpdatePart& part = messages_[proxy].emplace_back();
   (update.excluded ? part.excluded : part.readmitted).push_back(*uid);
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "draw.h"
+#include "seeded_random.h"
 
 namespace beamshunt::http {
 namespace {
@@ -103,18 +103,18 @@
   const std::string bytes =
       "POST /b HTTP/1.1\r\nhost: x\r\nContent-Length: 5\r\n\r\nhello"
       "POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwiki\r\n0\r\n\r\n";
-  test::Draw draw(3);
+  test::SeededRandom random(3);
   for (int iteration = 0; iteration < 20000; ++iteration) {
     std::string mutated = bytes;
-    for (std::size_t k = 0; k <= draw(4); ++k) {
-      std::size_t position = draw(mutated.size());
-      if (draw(2)) mutated[position] = static_cast<char>(draw(256));
-      else mutated.erase(position, draw(5));
+    for (std::size_t k = 0; k <= random(4); ++k) {
+      std::size_t position = random(mutated.size());
+      if (random(2)) mutated[position] = static_cast<char>(random(256));
+      else mutated.erase(position, random(5));
     }
     CollectingSink sink;
-    Parser parser(draw(2) ? Parser::Kind::request : Parser::Kind::response, sink, {.max_body_bytes = 100});
+    Parser parser(random(2) ? Parser::Kind::request : Parser::Kind::response, sink, {.max_body_bytes = 100});
     try {
-      for (std::size_t offset = 0, fragment_bytes = 1 + draw(50); offset < mutated.size();
+      for (std::size_t offset = 0, fragment_bytes = 1 + random(50); offset < mutated.size();
            offset += fragment_bytes)
         parser.feed(std::string_view(mutated).substr(offset, fragment_bytes));
       parser.finish();
--- a/tests/native_protocol/frames_test.cpp
+++ b/tests/native_protocol/frames_test.cpp
@@ -5,7 +5,7 @@
 
 #include <cmath>
 
-#include "draw.h"
+#include "seeded_random.h"
 
 namespace beamshunt::native_protocol {
 namespace {
@@ -103,27 +103,27 @@
 TEST(Frames, MutatedStreamIsDecodedOrRejected) {
   std::string bytes;
   for (const Frame& frame : one_frame_of_each_kind()) bytes += encode(frame);
-  test::Draw draw(7);
+  test::SeededRandom random(7);
   int rejected = 0;
   for (int iteration = 0; iteration < 20000; ++iteration) {
     std::string mutated = bytes;
-    for (std::size_t k = 0; k <= draw(4); ++k) {
-      std::size_t position = draw(mutated.size());
-      switch (draw(3)) {
+    for (std::size_t k = 0; k <= random(4); ++k) {
+      std::size_t position = random(mutated.size());
+      switch (random(3)) {
         case 0:
-          mutated[position] = static_cast<char>(draw(256));
+          mutated[position] = static_cast<char>(random(256));
           break;
         case 1:
-          mutated.erase(position, draw(9));
+          mutated.erase(position, random(9));
           break;
         default:
-          mutated.insert(position, draw(9), static_cast<char>(draw(256)));
+          mutated.insert(position, random(9), static_cast<char>(random(256)));
       }
     }
     FrameParser parser(4096);
     std::vector<Frame> frames;
     try {
-      std::size_t fragment_bytes = 1 + draw(97);
+      std::size_t fragment_bytes = 1 + random(97);
       for (std::size_t k = 0; k < mutated.size(); k += fragment_bytes)
         parser.feed(mutated.substr(k, fragment_bytes), frames);
     } catch (const ProtocolError& error) {
