--- a/src/assigner/session.h
+++ b/src/assigner/session.h
@@ -30,7 +30,7 @@
 enum class SessionCheck : std::uint8_t {
   nothing,
   handshake_timed_out,
-  unresponsive,  // no byte for kHeartbeatsUntilDead heartbeats
+  unresponsive,  // no byte for kHeartbeatTimeoutPeriods heartbeats
   ack_overdue,   // it is alive, but does not apply updates
   ping_due,
 };
--- a/src/config_stream/client.h
+++ b/src/config_stream/client.h
@@ -28,7 +28,7 @@
   std::uint32_t instance = 0;    // this assigner's number
   std::string origin;            // whose versions are wanted
   std::size_t services = 1;      // configuration services, in the order in which they are tried
-  Ms heartbeat_interval = 1000;  // silence of native_protocol::kHeartbeatsUntilDead of them ends the stream
+  Ms heartbeat_interval = 1000;  // silence for native_protocol::kHeartbeatTimeoutPeriods ends the stream
   Ms failback_after = 60000;     // on another service than the first: the first is tried again
   Ms delivery_timeout = 10000;   // from a delivery's first part to its last
   Ms min_backoff = 200;          // see ReconnectSchedule
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -33,8 +33,8 @@
               max_body_bytes = std::size_t{4} * 1048576;
 };
 
-// Reports a malformed or oversized message. `status` is the HTTP status for the answer to the peer. `offset`
-// is the position in the stream, in bytes since the construction of the parser.
+// Reports a malformed or oversized message. `status` is the HTTP status for the response to the peer.
+// `offset` is the position in the stream, in bytes since the construction of the parser.
 class ParseError : public std::runtime_error {
  public:
   ParseError(int response_status, std::uint64_t stream_offset, const std::string& cause)
--- a/src/native_protocol/frames.cpp
+++ b/src/native_protocol/frames.cpp
@@ -74,24 +74,26 @@
 constexpr std::uint8_t kMaxRetryMode = 3;        // two retries
 
 // The overloads of validation_error() check the rules that the field types do not enforce.
-const char* validation_error(const Hello& x) {
-  if (x.magic != kMagic) return "not this protocol: the magic number differs";
-  if (!(x.expected_rate >= 0) || std::isinf(x.expected_rate)) return "a usual rate below 0 or not finite";
+const char* validation_error(const Hello& hello) {
+  if (hello.magic != kMagic) return "not this protocol: the magic number differs";
+  if (!(hello.expected_rate >= 0) || std::isinf(hello.expected_rate))
+    return "a usual rate below 0 or not finite";
   return nullptr;
 }
-const char* validation_error(const PeerHello& x) {
-  return x.magic != kMagic ? "not this protocol: the magic number differs" : nullptr;
+const char* validation_error(const PeerHello& hello) {
+  return hello.magic != kMagic ? "not this protocol: the magic number differs" : nullptr;
 }
 bool is_finite_and_non_negative(double value) { return std::isfinite(value) && value >= 0; }
-const char* validation_error(const Welcome& x) {
-  return is_finite_and_non_negative(x.heartbeat_ms) && is_finite_and_non_negative(x.report_period_ms)
+const char* validation_error(const Welcome& welcome) {
+  return is_finite_and_non_negative(welcome.heartbeat_ms) &&
+                 is_finite_and_non_negative(welcome.report_period_ms)
              ? nullptr
              : "a time below 0 or not finite";
 }
-const char* validation_error(const UpdateMessage& x) {
-  if (!std::isfinite(x.decided_at_ms) || !is_finite_and_non_negative(x.lines))
+const char* validation_error(const UpdateMessage& message) {
+  if (!std::isfinite(message.decided_at_ms) || !is_finite_and_non_negative(message.lines))
     return "a time or count that is not finite";
-  for (const Update& update : x.updates) {
+  for (const Update& update : message.updates) {
     if (auto* weight = std::get_if<WeightUpdate>(&update);
         weight && !is_finite_and_non_negative(weight->weight))
       return "a weight below 0 or not finite";
@@ -102,10 +104,11 @@
   }
   return nullptr;
 }
-const char* validation_error(const LoadReportMessage& x) {
-  const bool in_range = x.interval_ms >= 0 && x.interval_ms <= kMaxReportIntervalMs;  // false for NaN
+const char* validation_error(const LoadReportMessage& report) {
+  // The comparisons are false for NaN.
+  const bool in_range = report.interval_ms >= 0 && report.interval_ms <= kMaxReportIntervalMs;
   if (!in_range) return "a span below 0 or over an hour";
-  for (const EndpointReportEntry& entry : x.endpoints) {
+  for (const EndpointReportEntry& entry : report.endpoints) {
     if (entry.failed > entry.attempts) return "more failed tries than tries";
     if (!is_finite_and_non_negative(entry.mean_latency_ms)) return "a latency below 0 or not finite";
     for (auto& [name, value] : entry.load)
@@ -113,8 +116,8 @@
   }
   return nullptr;
 }
-const char* validation_error(const PeerNote& x) {
-  return x.payload.size() > kMaxPeerNoteBytes ? "a note over 256 bytes" : nullptr;
+const char* validation_error(const PeerNote& note) {
+  return note.payload.size() > kMaxPeerNoteBytes ? "a note over 256 bytes" : nullptr;
 }
 template <typename T>
 const char* validation_error(const T&) {
@@ -148,8 +151,8 @@
   return kNames[frame.index()];
 }
 
-const char* validation_error(const Refuse& x) {
-  return is_finite_and_non_negative(x.retry_after_ms) ? nullptr : "a time below 0 or not finite";
+const char* validation_error(const Refuse& refuse) {
+  return is_finite_and_non_negative(refuse.retry_after_ms) ? nullptr : "a time below 0 or not finite";
 }
 
 std::string encode_frame(std::size_t kind, const std::string& payload) {
--- a/src/native_protocol/frames.h
+++ b/src/native_protocol/frames.h
@@ -47,7 +47,7 @@
   std::uint64_t applied_sequence = 0;  // last update message of `applied_epoch` that the proxy applied
   bool operator==(const Hello&) const = default;
 };
-// The assigner's answer to Hello. The assigner sends it again when one of the periods changes.
+// Confirms a Hello. The assigner sends it again when one of the periods changes.
 struct Welcome {
   std::uint16_t version = kVersion;
   std::uint64_t epoch = 0;      // number of the assigner's run, which increases at each start
@@ -263,7 +263,7 @@
   a(x.token);
 }
 // Returns the protocol rule that the frame's values violate, or null if the frame is valid.
-const char* validation_error(const Refuse& x);
+const char* validation_error(const Refuse& refuse);
 
 // Decodes frames from a byte stream that is received in arbitrary fragments. After next() has returned
 // nothing, the buffer contains at most one incomplete frame.
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -35,7 +35,7 @@
   untrusted,
   failed
 };
-// Returns the name used in logs and reports.
+// Returns the name of the reason for logs and reports.
 const char* close_reason_name(CloseReason reason);
 
 // A TCP connection, with TLS if it is configured. It is used on the thread of its reactor only.
@@ -47,7 +47,8 @@
     std::function<void()> on_connected;
     // Bytes were received. They are passed in order.
     std::function<void(std::string_view)> on_data;
-    // The peer has shut down its sending direction. It may still read.
+    // The peer has shut down its sending direction. It may still read. The connection ends if this callback
+    // is empty.
     std::function<void()> on_peer_shutdown;
     // The connection has ended. Called at most once, as the last callback, and not after close().
     std::function<void(CloseReason)> on_closed;
@@ -66,8 +67,8 @@
   // iteration of the loop. No callback is called earlier.
   void start(Callbacks callbacks);
   // Queues bytes for sending. The buffer is shared so that one encoded message can be sent to many peers.
-  // Returns false if the connection is closed or is about to close because the peer reads too slowly; in the
-  // latter case `on_closed` follows.
+  // Returns false if the connection is closed, or if it will close because the peer reads too slowly or TLS
+  // has failed; in the latter cases `on_closed` follows.
   bool send(std::shared_ptr<const std::string> bytes);
   bool send(std::string bytes) { return send(std::make_shared<const std::string>(std::move(bytes))); }
   // Sends the queued bytes, then shuts down the sending direction. The peer may continue to send.
