--- a/src/assigner/ack_tracker.cpp
+++ b/src/assigner/ack_tracker.cpp
@@ -17,7 +17,7 @@
 
 std::optional<Ms> AckTracker::deadline(Ms timeout) const {
   if (messages_.empty()) return std::nullopt;
-  return messages_.front().leaves_at + timeout;
+  return messages_.front().send_at + timeout;
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/ack_tracker.h
+++ b/src/assigner/ack_tracker.h
@@ -1,5 +1,5 @@
-// The update messages to one proxy that it has not acknowledged: what they hold of the update channel, and
-// since when the oldest is due. It decides nothing and sends nothing.
+// Tracks the update messages to one proxy that the proxy has not acknowledged: the lines that they occupy in
+// the update channel's queue, and when the acknowledgement of the oldest is due. It sends nothing.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,32 @@
 using base::Ms;
 
 struct UnacknowledgedMessage {
-  std::uint64_t sequence = 0;  // within the stream
+  std::uint64_t sequence = 0;  // sequence number within the stream
   Ms decided_at = 0;
-  Ms leaves_at = 0;                         // the channel, at its pace
-  double lines = 0;                         // that it holds of the channel's queue
-  std::uint32_t controller = 0;             // that decided it
-  std::vector<std::uint32_t> ack_requests;  // sequence numbers that this controller waits for
-  bool removes_endpoint = false;            // it takes weight from an endpoint that is draining or removed
+  Ms send_at = 0;                             // time at which the paced channel sends the message
+  double lines = 0;                           // lines that the message occupies in the channel's queue
+  std::uint32_t controller = 0;               // number of the controller that decided the message
+  std::vector<std::uint32_t> ack_requests;    // sequence numbers whose acknowledgement the controller awaits
+  bool removes_unavailable_endpoint = false;  // whether it removes a draining or removed endpoint's weight
 };
 
 class AckTracker {
  public:
-  // Messages are added in the order of their sequence.
+  // Adds a message. Messages must be added in ascending order of their sequence numbers.
   void add(UnacknowledgedMessage message);
-  // The messages up to and including `sequence`, oldest first. They are tracked no longer.
+  // Stops tracking all messages up to and including `sequence` and returns them, oldest first.
   std::vector<UnacknowledgedMessage> acknowledge(std::uint64_t sequence);
 
   [[nodiscard]] bool empty() const { return messages_.empty(); }
-  [[nodiscard]] const UnacknowledgedMessage& oldest() const { return messages_.front(); }  // not if empty()
+  // Returns the oldest unacknowledged message. The tracker must not be empty.
+  [[nodiscard]] const UnacknowledgedMessage& oldest() const { return messages_.front(); }
   [[nodiscard]] const std::deque<UnacknowledgedMessage>& messages() const { return messages_; }
-  // By when the oldest message must be acknowledged, `timeout` after it left; nothing if there is none.
+  // Returns the time by which the oldest message must be acknowledged: `timeout` after the channel sends it.
+  // Returns nullopt if no message is tracked.
   [[nodiscard]] std::optional<Ms> deadline(Ms timeout) const;
 
  private:
-  std::deque<UnacknowledgedMessage> messages_;  // by sequence
+  std::deque<UnacknowledgedMessage> messages_;  // in ascending order of sequence numbers
 };
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/action_executor.cpp
+++ b/src/assigner/action_executor.cpp
@@ -11,61 +11,66 @@
 
 class ActionVisitor {
  public:
-  ActionVisitor(std::uint32_t number, const ActionTargets& targets, Ms now)
-      : number_(number), running_(targets.handover.controllers().at(number)), targets_(targets), now_(now) {}
+  ActionVisitor(std::uint32_t controller, const ActionTargets& targets, Ms now)
+      : controller_(controller),
+        running_(targets.handover.controllers().at(controller)),
+        targets_(targets),
+        now_(now) {}
 
-  void operator()(const Subscribe& x) {
-    targets_.watching = x.active;
-    if (x.active) targets_.effects.emplace_back(OpenEndpointWatch{});
+  void operator()(const Subscribe& action) {
+    targets_.endpoint_watch_open = action.active;
+    if (action.active) targets_.effects.emplace_back(OpenEndpointWatch{});
     else targets_.effects.emplace_back(CloseEndpointWatch{});
   }
   void operator()(const FetchEndpoints&) { targets_.effects.emplace_back(FetchEndpointList{}); }
-  void operator()(const SetTimer& x) {
-    running_.timers.emplace(x.deadline.time_since_epoch().count(), x.token);
+  void operator()(const SetTimer& action) {
+    running_.timers.emplace(action.deadline.time_since_epoch().count(), action.token);
   }
-  void operator()(const SendHealthCheck& x) {
-    if (const EndpointListEntry* entry = targets_.endpoints.find(raw(x.endpoint)))
-      targets_.effects.emplace_back(SendHealthCheckRequest{x.endpoint, entry->address});
+  void operator()(const SendHealthCheck& action) {
+    if (const EndpointListEntry* entry = targets_.endpoints.find(raw(action.endpoint)))
+      targets_.effects.emplace_back(SendHealthCheckRequest{action.endpoint, entry->address});
   }
-  void operator()(const SendPeerMessage& x) {
-    if (x.payload.size() > channel::kMaxPeerNoteBytes) return;  // peers would refuse the stream
-    targets_.protocol.send_peer_note(x.peer, x.to_all_peers, std::string(x.payload.begin(), x.payload.end()),
-                                     now_);
+  void operator()(const SendPeerMessage& action) {
+    // Peers would refuse the stream if they received a longer note.
+    if (action.payload.size() > channel::kMaxPeerNoteBytes) return;
+    targets_.protocol.send_peer_note(action.peer, action.to_all_peers,
+                                     std::string(action.payload.begin(), action.payload.end()), now_);
   }
-  void operator()(const SetWeight& x) { apply(x); }
-  void operator()(const ClearTable& x) { apply(x); }
-  void operator()(const AssignTable& x) {
-    targets_.handover.transfer_proxy(number_, x.proxy);
-    apply(x);
+  void operator()(const SetWeight& action) { apply(action); }
+  void operator()(const ClearTable& action) { apply(action); }
+  void operator()(const AssignTable& action) {
+    targets_.handover.transfer_proxy(controller_, action.proxy);
+    apply(action);
   }
-  void operator()(const ExcludeEndpoint& x) { apply(x); }
-  void operator()(const SetAdmissionLimit& x) {
-    targets_.metrics.limit_set(running_.tables, x);
-    apply(x);
+  void operator()(const ExcludeEndpoint& action) { apply(action); }
+  void operator()(const SetAdmissionLimit& action) {
+    targets_.metrics.count_limit_reductions(running_.tables, action);
+    apply(action);
   }
-  void operator()(const AckRequest& x) {
-    targets_.writer.request_acks(x.sequence_number, x.all_proxies, targets_.protocol.sessions());
+  void operator()(const AckRequest& action) {
+    targets_.writer.request_acks(action.sequence_number, action.all_proxies, targets_.protocol.sessions());
   }
-  void operator()(const LogMessage& x) {
-    targets_.metrics.controller_logged(x);
-    targets_.effects.emplace_back(WriteLogEvent{log::Level::info, "controller", {{"text", x.text}}});
+  void operator()(const LogMessage& action) {
+    targets_.metrics.count_ejections(action);
+    targets_.effects.emplace_back(WriteLogEvent{log::Level::info, "controller", {{"text", action.text}}});
   }
-  void operator()(const InvariantViolated& x) {
+  void operator()(const InvariantViolated& action) {
     targets_.effects.emplace_back(
-        WriteLogEvent{log::Level::error, "controller_invariant_violated", {{"text", x.text}}});
+        WriteLogEvent{log::Level::error, "controller_invariant_violated", {{"text", action.text}}});
   }
 
  private:
-  // A proxy obeys the controller that owns it: what another one decides for it is out of date.
+  // Applies the action to the controller's tables. Updates to proxies owned by another controller are not
+  // written, because they are out of date.
   template <class TableAction>
   void apply(const TableAction& action) {
     running_.tables.apply(action, [this](ProxyId proxy, const assignments::Update& update) {
-      if (targets_.handover.owns(number_, proxy))
-        targets_.writer.write(proxy, to_channel_update(number_, update, targets_.endpoints));
+      if (targets_.handover.owns(controller_, proxy))
+        targets_.writer.add(proxy, to_protocol_update(controller_, update, targets_.endpoints));
     });
   }
 
-  std::uint32_t number_;
+  std::uint32_t controller_;
   RunningController& running_;
   const ActionTargets& targets_;
   Ms now_;
--- a/src/assigner/action_executor.h
+++ b/src/assigner/action_executor.h
@@ -1,5 +1,5 @@
-// Carries out a controller's actions: on its tables, on its timers, and as effects. It sends no update
-// itself; what actions change for proxies is gathered in the update writer. It decides nothing.
+// Applies a controller's actions to its tables and timers, and turns them into effects. Updates for proxies
+// are collected in the update writer and not sent here.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace beamshunt::assigner {
 
-// What actions act on. References into a living core.
+// The parts of a running core that actions modify or read. All references must be valid during the call.
 struct ActionTargets {
   Handover& handover;
   SessionProtocol& protocol;
@@ -23,10 +23,11 @@
   CoreMetrics& metrics;
   const EndpointCatalog& endpoints;
   std::vector<Effect>& effects;
-  bool& watching;  // whether a watch on the endpoint list is wanted
+  bool& endpoint_watch_open;  // set to whether the controller subscribes to the endpoint list
 };
 
-// `controller`: the number of the one that decided.
+// Executes `actions` in order. `controller` is the number of the running controller that decided them.
+// Throws std::out_of_range if no controller with this number is running.
 void execute_actions(const std::vector<Action>& actions, std::uint32_t controller,
                      const ActionTargets& targets, Ms now);
 
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -13,9 +13,10 @@
 
 using base::raw;
 
-// Of the messages that a proxy may be sent within the window, the part that may be spent before a handover:
-// it costs each proxy one message, and drains must find theirs behind it.
-constexpr double kMaxSpentBeforeHandover = 0.5;
+// A handover may start only if each proxy has received less than this share of the messages permitted within
+// the message window. The handover itself needs one message for each proxy, and drains need further ones
+// after it.
+constexpr double kMaxMessageShareBeforeHandover = 0.5;
 
 Time to_time(Ms ms) { return Time(Duration(ms)); }
 
@@ -30,19 +31,20 @@
 
 }  // namespace
 
-Core::Core(const AssignerSettings& site, std::uint64_t epoch, std::optional<EndpointCatalog> cached, Ms now,
-           double wall_now)
-    : site_(site),
+Core::Core(const AssignerSettings& settings, std::uint64_t epoch, std::optional<EndpointCatalog> cached,
+           Ms now, double wall_now)
+    : settings_(settings),
       epoch_(epoch),
-      protocol_(site_, epoch, now, *this, effects_, counters_),
-      handover_(site.policy),
-      reports_(site.report_lines_per_s),
+      protocol_(settings_, epoch, now, *this, effects_, counters_),
+      handover_(settings.policy),
+      reports_(settings.report_lines_per_s),
       next_report_release_(now),
-      list_received_at_(now),
+      last_watch_activity_at_(now),
       wall_offset_(wall_now - now) {
-  if (keeps_record()) append_record(flight_record::encode_controller_start(site_.policy));
+  if (flight_record_enabled()) append_flight_record(flight_record::encode_controller_start(settings_.policy));
   if (cached) endpoints_ = std::move(*cached);
-  // The first event is the cached list, be it empty: the controller subscribes by itself.
+  // The first event is always a cached list, possibly an empty one. The controller then subscribes to the
+  // endpoint list by itself.
   handover_.deliver(
       EndpointList{EndpointListKind::cached, endpoints_.to_listed(endpoints_.entries(), now, wall_now)});
 }
@@ -51,10 +53,12 @@
   effects_.emplace_back(WriteLogEvent{level, std::move(event), std::move(fields)});
 }
 
-void Core::append_record(std::string bytes) { effects_.emplace_back(AppendFlightRecord{std::move(bytes)}); }
+void Core::append_flight_record(std::string bytes) {
+  effects_.emplace_back(AppendFlightRecord{std::move(bytes)});
+}
 
 CoreView Core::view() const {
-  return {.site = site_,
+  return {.settings = settings_,
           .sessions = protocol_.sessions(),
           .controllers = handover_.controllers(),
           .endpoints = endpoints_,
@@ -62,12 +66,12 @@
           .channel = channel_,
           .counters = counters_,
           .epoch = epoch_,
-          .watching = watching_,
-          .list_received_at = list_received_at_};
+          .endpoint_watch_open = endpoint_watch_open_,
+          .last_watch_activity_at = last_watch_activity_at_};
 }
 
 Locality Core::locality_of(const Session& session) const {
-  return Locality{site_.locality_of.find(session.address.ip).value_or(0)};
+  return Locality{settings_.locality_of.find(session.address.ip).value_or(0)};
 }
 
 // ---- Sessions ----
@@ -90,7 +94,7 @@
 void Core::messages_acknowledged(ProxyId proxy, const std::vector<UnacknowledgedMessage>& messages, Ms now) {
   for (const UnacknowledgedMessage& message : messages) {
     auto running = handover_.controllers().find(message.controller);
-    if (running == handover_.controllers().end()) continue;  // it has been replaced
+    if (running == handover_.controllers().end()) continue;  // the controller has been replaced
     for (std::uint32_t sequence_number : message.ack_requests)
       running->second.pending.emplace_back(
           UpdateAcknowledged{proxy, Duration(now - message.decided_at), sequence_number});
@@ -99,14 +103,14 @@
 
 void Core::load_report_received(const Session& session, const channel::LoadReportMessage& report, Ms now) {
   ++counters_.reports;
-  counters_.report_lines += report.endpoints.size() + report.demand.size();
-  Locality from = locality_of(session);
+  counters_.report_entries += report.endpoints.size() + report.demand.size();
+  Locality proxy_locality = locality_of(session);
   Ms begin = now - report.interval_ms;
   for (const channel::EndpointReportEntry& entry : report.endpoints) {
-    if (endpoints_.find(entry.endpoint)) reports_.add_endpoint_report(from, entry, begin, now);
+    if (endpoints_.find(entry.endpoint)) reports_.add_endpoint_report(proxy_locality, entry, begin, now);
     else ++counters_.unknown_endpoints;
   }
-  metrics_.add_report(from, report, endpoints_, now);
+  metrics_.add_load_report(proxy_locality, report, endpoints_, now);
   for (const channel::DemandReportEntry& entry : report.demand)
     reports_.add_demand_report(ProxyId(session.id), entry, begin, now);
 }
@@ -120,13 +124,13 @@
 void Core::endpoint_list_received(std::string_view json, Ms now, double wall_now) {
   EndpointListUpdate update;
   try {
-    update = parse_endpoint_list(json, site_.policy.localities);
+    update = parse_endpoint_list(json, settings_.policy.localities);
   } catch (const EndpointListError& error) {
     log(log::Level::error, "endpoint_list_rejected",
         {{"reason", error.what()}, {"kept_version", std::to_string(endpoints_.version())}});
-    return endpoint_list_lost(std::string("refused: ") + error.what());
+    return endpoint_list_lost(std::string("rejected: ") + error.what());
   }
-  list_received_at_ = now;
+  last_watch_activity_at_ = now;
   wall_offset_ = wall_now - now;
   for (std::uint32_t id : endpoints_.apply(update))
     metrics_.endpoint_changed(id, endpoints_.is_available(id), now);
@@ -138,7 +142,7 @@
 }
 
 void Core::endpoint_list_lost(const std::string& reason) {
-  watching_ = false;
+  endpoint_watch_open_ = false;
   log(log::Level::warning, "endpoint_list_lost",
       {{"reason", reason}, {"kept_version", std::to_string(endpoints_.version())}});
   handover_.deliver(EndpointList{EndpointListKind::lost, {}});
@@ -148,49 +152,53 @@
   handover_.deliver(HealthCheckResult{endpoint, outcome, Duration(latency), std::move(load)});
 }
 
-// ---- Other settings ----
+// ---- Configuration changes ----
 
 bool Core::may_reconfigure(const AssignerSettings& next, Ms now) const {
-  if (same_policy(site_.policy, next.policy)) return true;
+  if (same_policy(settings_.policy, next.policy)) return true;
   if (handover_.shares_channel()) return false;
-  double allowed = next.policy.max_messages_per_window;
-  if (allowed <= 0) return true;  // no limit
+  double max_messages = next.policy.max_messages_per_window;
+  if (max_messages <= 0) return true;  // the number of messages is not limited
   const SessionTable& sessions = protocol_.sessions();
-  return std::all_of(sessions.proxies().begin(), sessions.proxies().end(), [&](const auto& proxy) {
-    auto sent = sessions.session_of(proxy.second).messages.count(now, next.policy.message_window.count());
-    return static_cast<double>(sent) < kMaxSpentBeforeHandover * allowed;
+  return std::all_of(sessions.proxies().begin(), sessions.proxies().end(), [&](const auto& proxy_and_stream) {
+    auto sent_messages = sessions.session_of(proxy_and_stream.second)
+                             .message_history.count(now, next.policy.message_window.count());
+    return static_cast<double>(sent_messages) < kMaxMessageShareBeforeHandover * max_messages;
   });
 }
 
 void Core::reconfigure(const AssignerSettings& next, std::uint64_t version, std::uint64_t hash, Ms now) {
-  bool new_policy = !same_policy(site_.policy, next.policy);
-  // Reports that wait may be on classes and localities that are no more.
-  if (next.policy.classes.size() < site_.policy.classes.size() ||
-      next.policy.localities.size() < site_.policy.localities.size())
+  bool policy_changed = !same_policy(settings_.policy, next.policy);
+  // Pending reports may refer to removed classes and localities.
+  if (next.policy.classes.size() < settings_.policy.classes.size() ||
+      next.policy.localities.size() < settings_.policy.localities.size())
     reports_ = ReportIntake(next.report_lines_per_s);
-  bool other_periods =
-      site_.heartbeat != next.heartbeat || site_.policy.report_period != next.policy.report_period;
-  site_ = next;
-  reports_.set_rate(site_.report_lines_per_s);
-  if (keeps_record()) append_record(flight_record::encode_config_change(to_time(now), version, hash));
+  bool periods_changed =
+      settings_.heartbeat != next.heartbeat || settings_.policy.report_period != next.policy.report_period;
+  settings_ = next;
+  reports_.set_rate(settings_.report_lines_per_s);
+  if (flight_record_enabled())
+    append_flight_record(flight_record::encode_config_change(to_time(now), version, hash));
   log(log::Level::info, "config_applied",
-      {{"version", std::to_string(version)}, {"new_controller", new_policy ? "yes" : "no"}});
-  protocol_.site_changed(other_periods, now);
-  if (new_policy) start_controller(now);
+      {{"version", std::to_string(version)}, {"new_controller", policy_changed ? "yes" : "no"}});
+  protocol_.settings_changed(periods_changed, now);
+  if (policy_changed) start_controller(now);
 }
 
 void Core::start_controller(Ms now) {
-  std::uint32_t number = handover_.start_controller(site_.policy);
-  if (keeps_record()) append_record(flight_record::encode_controller_start(site_.policy, number));
+  std::uint32_t number = handover_.start_controller(settings_.policy);
+  if (flight_record_enabled())
+    append_flight_record(flight_record::encode_controller_start(settings_.policy, number));
   RunningController& running = handover_.newest();
-  // Known start times are kept as they are: the wall clock of the last list does, for none of these is new.
+  // The wall-clock offset of the last list is sufficient: the start times of all these endpoints were
+  // converted before, and the catalog keeps them.
   running.pending.emplace_back(EndpointList{
       EndpointListKind::cached, endpoints_.to_listed(endpoints_.entries(), now, wall_offset_ + now)});
   for (const auto& [proxy, stream] : protocol_.sessions().proxies()) {
     const Session& session = protocol_.sessions().session_of(stream);
     running.tables.register_proxy(proxy);
-    running.others_messages[proxy] =
-        static_cast<int>(session.messages.count(now, site_.policy.message_window.count()));
+    running.other_messages[proxy] =
+        static_cast<int>(session.message_history.count(now, settings_.policy.message_window.count()));
     running.pending.emplace_back(ProxyRegistered{proxy, locality_of(session), session.expected_rate, false});
   }
   retire_replaced_controllers();
@@ -220,23 +228,24 @@
     if (!running.pending.empty()) return 0;
     if (!running.timers.empty()) due = std::min(due, running.timers.begin()->first);
   }
-  if (auto check = protocol_.sessions().next_due()) due = std::min(due, *check);
-  if (auto message = channel_.next_due()) due = std::min(due, *message);
+  if (auto check_due = protocol_.sessions().next_due()) due = std::min(due, *check_due);
+  if (auto message_due = channel_.next_due()) due = std::min(due, *message_due);
   return due;
 }
 
 void Core::release_reports(Ms now) {
   if (now < next_report_release_) return;
   for (const Event& event : reports_.release(now)) handover_.deliver(event);
-  next_report_release_ = now + site_.policy.report_period.count();
+  next_report_release_ = now + settings_.policy.report_period.count();
 }
 
 void Core::run_controller(std::uint32_t number, RunningController& running, Ms now) {
-  std::vector<Event> events = running.take_events(now);
+  std::vector<Event> events = running.collect_events(now);
   if (events.empty()) return;
   std::vector<Action> actions = running.controller.handle(to_time(now), events);
   counters_.events += events.size();
-  if (keeps_record()) append_record(flight_record::encode_batch(to_time(now), events, actions, number));
+  if (flight_record_enabled())
+    append_flight_record(flight_record::encode_batch(to_time(now), events, actions, number));
   execute_actions(actions, number,
                   {.handover = handover_,
                    .protocol = protocol_,
@@ -244,7 +253,7 @@
                    .metrics = metrics_,
                    .endpoints = endpoints_,
                    .effects = effects_,
-                   .watching = watching_},
+                   .endpoint_watch_open = endpoint_watch_open_},
                   now);
   counters_.actions += actions.size();
   enqueue_messages(number, now);
@@ -253,7 +262,7 @@
 // ---- Update messages ----
 
 void Core::enqueue_messages(std::uint32_t controller, Ms now) {
-  for (auto& [proxy, updates] : writer_.take()) {
+  for (auto& [proxy, updates] : writer_.take_updates()) {
     auto session = protocol_.sessions().find_proxy(proxy);
     if (session == protocol_.sessions().end()) continue;
     if (interceptor_) interceptor_(now, raw(proxy), updates, endpoints_);
@@ -261,33 +270,32 @@
   }
 }
 
-// One message for each proxy concerned; they leave one after the other at the channel's pace.
+// Adds one message to the update channel, which paces the messages of all proxies.
 void Core::enqueue_message(std::uint32_t controller, SessionTable::Iterator session,
                            std::vector<channel::Update> updates, Ms now) {
-  Session& s = session->second;
-  channel::UpdateMessage message{.sequence = ++s.update_sequence, .decided_at_ms = now};
-  message.lines = site_.policy.message_overhead_lines + static_cast<double>(updates.size());
+  Session& recipient = session->second;
+  channel::UpdateMessage message{.sequence = ++recipient.update_sequence, .decided_at_ms = now};
+  message.lines = settings_.policy.message_overhead_lines + static_cast<double>(updates.size());
   UnacknowledgedMessage unacknowledged{
       .sequence = message.sequence, .decided_at = now, .lines = message.lines, .controller = controller};
   for (const channel::Update& update : updates) {
     if (const auto* request = std::get_if<channel::AckRequestUpdate>(&update))
       unacknowledged.ack_requests.push_back(request->sequence_number);
-    unacknowledged.removes_endpoint |= metrics_.removes_closed_endpoint(update);
+    unacknowledged.removes_unavailable_endpoint |= metrics_.removes_unavailable_endpoint(update);
   }
   message.updates = std::move(updates);
-  ++counters_.messages;
-  counters_.lines += message.updates.size();
-  Ms leaves_at = channel_.reserve(message.lines, site_.policy.channel_lines_per_second, now);
-  unacknowledged.leaves_at = leaves_at;
-  s.messages.add(now, site_.policy.message_window.count());
-  handover_.count_message(controller, ProxyId{s.id});
+  ++counters_.update_messages;
+  counters_.updates += message.updates.size();
+  Ms send_at = channel_.reserve(message.lines, settings_.policy.channel_lines_per_second, now);
+  unacknowledged.send_at = send_at;
+  recipient.message_history.add(now, settings_.policy.message_window.count());
+  handover_.count_message(controller, ProxyId{recipient.id});
   protocol_.message_enqueued(session, std::move(unacknowledged));
-  channel_.enqueue(
-      {leaves_at, session->first, std::make_shared<const std::string>(channel::encode(message))});
+  channel_.enqueue({send_at, session->first, std::make_shared<const std::string>(channel::encode(message))});
 }
 
 void Core::send_due_messages(Ms now) {
-  while (std::optional<PacedMessage> message = channel_.take_due(now))
+  while (std::optional<QueuedMessage> message = channel_.pop_due(now))
     if (!protocol_.send_message(message->stream, std::move(message->bytes), now))
       ++counters_.dropped_messages;
 }
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -1,6 +1,6 @@
-// The assigner without its sockets: bytes, times and responses in, effects out. Everything that an assigner
-// is, but for moving bytes, so that tests drive it through any fault in simulated time. This class wires the
-// modules: it decides nothing about load, which the controllers do, and performs no I/O.
+// The assigner without I/O: received bytes, times and responses go in, effects come out. Because it contains
+// all of the assigner's logic but no sockets and no clock, tests can run it through any fault in simulated
+// time. The core connects the modules; decisions about load are made by the controllers.
 #pragma once
 
 #include <cstdint>
@@ -27,61 +27,77 @@
 
 namespace beamshunt::assigner {
 
-// What may change a message between the controller and the wire: audits prove themselves by it. Never in
-// service.
+// Modifies the updates of a message before they are encoded. Audits inject violations with it to show that
+// they detect them; it must not be set in production.
 using MessageInterceptor = std::function<void(
     Ms now, std::uint32_t proxy, std::vector<channel::Update>& updates, const EndpointCatalog& endpoints)>;
 
-// All times are of one monotonic clock, in milliseconds, and never go back; `wall_now` is since 1970.
+// All times are in ms on one monotonic clock and must never decrease. `wall_now` is in ms since 1970.
 class Core final : private SessionListener {
  public:
-  // `epoch` grows at each start. `cached`: the endpoint list that was held before it, if any.
-  Core(const AssignerSettings& site, std::uint64_t epoch, std::optional<EndpointCatalog> cached, Ms now,
+  // `epoch` must be greater than that of every earlier run. `cached` is the endpoint list saved by an earlier
+  // run, if any.
+  Core(const AssignerSettings& settings, std::uint64_t epoch, std::optional<EndpointCatalog> cached, Ms now,
        double wall_now);
   Core(const Core&) = delete;  // its modules refer to each other
   Core& operator=(const Core&) = delete;
 
   void set_message_interceptor(MessageInterceptor interceptor) { interceptor_ = std::move(interceptor); }
 
-  // ---- What happens; effects are taken after run_once() ----
-  void stream_opened(StreamId stream, net::Address peer, Ms now) { protocol_.opened(stream, peer, now); }
+  // ---- Events. The host calls run_once() and then take_effects() after one or more of them. ----
+  // A proxy or peer at the address `peer` opened a stream.
+  void stream_opened(StreamId stream, net::Address peer, Ms now) {
+    protocol_.stream_opened(stream, peer, now);
+  }
+  // The host connected a stream to a peer, as requested by DialPeer.
   void peer_dialled(StreamId stream, std::uint32_t instance, Ms now) {
     protocol_.peer_dialled(stream, instance, now);
   }
   void stream_bytes_received(StreamId stream, std::string_view bytes, Ms now) {
     protocol_.bytes_received(stream, bytes, now);
   }
+  // The other side or the network closed the stream. `reason` is for the log.
   void stream_closed(StreamId stream, const std::string& reason, Ms now) {
-    protocol_.closed(stream, reason, now);
+    protocol_.stream_closed(stream, reason, now);
   }
-  // One line of the discovery service's JSON. A line that can't be is rejected as a whole, logged, and counts
-  // as a lost list.
+  // Applies one line of the discovery service's JSON. An invalid line is rejected as a whole, logged, and
+  // handled like a call of endpoint_list_lost().
   void endpoint_list_received(std::string_view json, Ms now, double wall_now);
-  void watch_heartbeat_received(Ms now) { list_received_at_ = now; }  // the watch lives, with nothing new
+  // The watch is alive, but the endpoint list has not changed.
+  void watch_heartbeat_received(Ms now) { last_watch_activity_at_ = now; }
+  // The watch broke or a fetch failed. `reason` is for the log.
   void endpoint_list_lost(const std::string& reason);
   void health_check_completed(EndpointId endpoint, AttemptOutcome outcome, Ms latency, LoadReport load);
 
-  // Other settings from this instant on. Where the policy's own differ, a new controller takes over (see
-  // handover.h). `next` may differ from what runs in nothing that fleet_conflicts() names. `version`, `hash`:
-  // for the flight record. Not while a handover is in progress, nor while a proxy could not be sent the
-  // message that assigns its table within the limit on messages (rule 5): may_reconfigure() says so.
+  // Returns whether reconfigure() may be called with `next` now. If the policy settings change, it must not
+  // be called while a handover is in progress, nor while the message limit (rule 5) might keep a proxy from
+  // receiving the message that assigns its new table.
   [[nodiscard]] bool may_reconfigure(const AssignerSettings& next, Ms now) const;
+  // Applies new settings. If the policy settings changed, a new controller takes over (see handover.h). Must
+  // only be called if may_reconfigure() returns true and fleet_conflicts() returns no reasons for `next`.
+  // `version` and `hash` identify the settings in the flight record.
   void reconfigure(const AssignerSettings& next, std::uint64_t version, std::uint64_t hash, Ms now);
-  void stop(Ms now) { protocol_.stop(now); }  // no new streams; those there are told
+  // Refuses all open streams, and all that are opened from now on.
+  void stop(Ms now) { protocol_.stop(now); }
 
-  // Asks the controllers, if there is anything to tell them, and does what is due.
+  // Handles expired timeouts, passes pending events to the controllers, executes their actions, and sends the
+  // update messages that are due.
   void run_once(Ms now);
-  [[nodiscard]] Ms next_due() const;  // when run_once() must come at the latest
+  // Returns the time by which run_once() must be called next; 0 if controllers have pending events.
+  [[nodiscard]] Ms next_due() const;
+  // Returns the effects requested since the last call, in order. The host must execute them in this order.
   [[nodiscard]] std::vector<Effect> take_effects() { return std::exchange(effects_, {}); }
 
-  // ---- What is seen ----
+  // ---- State ----
   [[nodiscard]] const Counters& counters() const { return counters_; }
   [[nodiscard]] std::size_t stream_count() const { return protocol_.sessions().size(); }
   [[nodiscard]] std::size_t proxy_count() const { return protocol_.sessions().proxies().size(); }
   [[nodiscard]] double unacknowledged_lines() const { return protocol_.sessions().unacknowledged_lines(); }
+  // Returns how long the oldest pending load report has waited; 0 if none is pending.
   [[nodiscard]] Ms oldest_report_wait(Ms now) const { return reports_.oldest_wait(now); }
   [[nodiscard]] bool handover_in_progress() const { return handover_.in_progress(); }
   [[nodiscard]] FleetSnapshot fleet(Ms now) const { return fleet_snapshot(view(), metrics_, now); }
+  // Returns the bytes of the endpoint list for the cache on disk.
   [[nodiscard]] std::string encoded_endpoint_list() const { return encode_cached_list(endpoints_); }
   [[nodiscard]] std::string status_json(Ms now) const { return assigner::status_json(view(), now); }
   [[nodiscard]] telemetry::AssignerMetrics collect_metrics(Ms now) { return metrics_.collect(view(), now); }
@@ -106,11 +122,11 @@
   void enqueue_message(std::uint32_t controller, SessionTable::Iterator session,
                        std::vector<channel::Update> updates, Ms now);
   void send_due_messages(Ms now);
-  [[nodiscard]] bool keeps_record() const { return !site_.record_file.empty(); }
-  void append_record(std::string bytes);
+  [[nodiscard]] bool flight_record_enabled() const { return !settings_.record_file.empty(); }
+  void append_flight_record(std::string bytes);
   void log(log::Level level, std::string event, log::Fields fields);
 
-  AssignerSettings site_;
+  AssignerSettings settings_;
   std::uint64_t epoch_;
   std::vector<Effect> effects_;
   Counters counters_;
@@ -123,9 +139,9 @@
   CoreMetrics metrics_;
   MessageInterceptor interceptor_;
   Ms next_report_release_;
-  Ms list_received_at_;
-  double wall_offset_;     // the wall clock less this one, when the endpoint list last came
-  bool watching_ = false;  // a watch on the endpoint list is open
+  Ms last_watch_activity_at_;
+  double wall_offset_;  // wall time minus monotonic time at the last received endpoint list
+  bool endpoint_watch_open_ = false;
 };
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/core_metrics.h
+++ b/src/assigner/core_metrics.h
@@ -1,5 +1,5 @@
-// What the metrics and the fleet snapshot need beside the core's own state: service by class, attempts by
-// endpoint, draining endpoints, ejections. Nothing is decided by any of it.
+// Figures for the metrics and the fleet snapshot that the core's own state does not contain: service by
+// class, attempts by endpoint, unavailable endpoints, and ejections. No decision depends on them.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +12,32 @@
 
 namespace beamshunt::assigner {
 
-// Of an endpoint, by the proxies' reports.
+// An endpoint's load as reported by proxies.
 struct EndpointActivity {
-  double attempt_rate = 0;  // a second, smoothed
-  double utilization = -1;  // by its last report; below 0: never reported
+  double attempt_rate = 0;  // exponentially smoothed, in attempts per second
+  double utilization = -1;  // last reported value; negative if never reported
   Ms updated_at = 0;
 };
 
 class CoreMetrics {
  public:
-  // ---- What happened ----
-  void add_report(Locality from, const channel::LoadReportMessage& report, const EndpointCatalog& endpoints,
-                  Ms now);
+  // ---- Recording ----
+  void add_load_report(Locality proxy_locality, const channel::LoadReportMessage& report,
+                       const EndpointCatalog& endpoints, Ms now);
   void endpoint_changed(std::uint32_t endpoint, bool available, Ms now);
   void proxy_removed(ProxyId proxy) { without_endpoints_since_.erase(proxy); }
-  void controller_logged(const LogMessage& message);
-  // Called before the tables take the new limit: counts the limits that it lowers.
-  void limit_set(const assignments::AssignmentTables& tables, const SetAdmissionLimit& action);
+  // Counts an ejection if the controller's log message reports one.
+  void count_ejections(const LogMessage& message);
+  // Counts the limits that `action` lowers. Must be called before `tables` apply the action.
+  void count_limit_reductions(const assignments::AssignmentTables& tables, const SetAdmissionLimit& action);
 
-  // Whether the update takes weight from an endpoint that is draining or removed.
-  [[nodiscard]] bool removes_closed_endpoint(const channel::Update& update) const;
-  [[nodiscard]] const EndpointActivity* activity(std::uint32_t endpoint) const;  // null: none reported
-  // Requests that arrived since the start, by class.
+  // ---- Queries ----
+  // Returns whether the update removes the weight of an endpoint that is draining or removed.
+  [[nodiscard]] bool removes_unavailable_endpoint(const channel::Update& update) const;
+  // Returns the endpoint's activity, or null if no report named the endpoint. The pointer stays valid while
+  // this object exists.
+  [[nodiscard]] const EndpointActivity* activity(std::uint32_t endpoint) const;
+  // Returns the number of requests that arrived since the start, for each of `class_count` classes.
   [[nodiscard]] std::vector<double> arrivals_by_class(std::size_t class_count) const;
 
   telemetry::AssignerMetrics collect(const CoreView& core, Ms now);
@@ -45,19 +49,26 @@
     std::uint64_t within_objective = 0;
   };
 
-  void add_channel(const CoreView& core, Ms now, telemetry::AssignerMetrics& figures);
+  void add_channel(const CoreView& core, Ms now, telemetry::AssignerMetrics& metrics);
+  // Returns the longest time for which a registered proxy has had a table without weights, as far as the
+  // decided updates show.
   Ms longest_without_endpoints(const CoreView& core, Ms now);
-  void add_service(const AssignerSettings& site, telemetry::AssignerMetrics& figures) const;
-  // Returns whether a limit in force allows retries that its class's semantics don't.
-  bool add_limits(const CoreView& core, telemetry::AssignerMetrics& figures) const;
-  [[nodiscard]] double slow_start_use(const CoreView& core, Ms now) const;
-  [[nodiscard]] double drain_use(const CoreView& core, Ms now) const;
+  void add_service(const AssignerSettings& settings, telemetry::AssignerMetrics& metrics) const;
+  // Returns whether a limit in force permits retries that are unsafe under the semantics of its class.
+  bool add_admission_limits(const CoreView& core, telemetry::AssignerMetrics& metrics) const;
+  // Returns the highest ratio of attempt rate to permitted rate among endpoints that are warming up. The
+  // permitted rate is derived from the attempts of warm endpoints at their present utilization.
+  [[nodiscard]] double slow_start_usage(const CoreView& core, Ms now) const;
+  // Returns the age of the oldest pending drain, relative to the drain grace period. A drain is pending from
+  // the endpoint's state change until no table in use contains its weight, and until each update that removes
+  // the weight is acknowledged.
+  [[nodiscard]] double drain_usage(const CoreView& core, Ms now) const;
 
   std::map<std::uint32_t, EndpointActivity> activity_;  // by endpoint
-  std::map<std::uint32_t, Ms> closed_since_;            // endpoints that drain or are removed
-  std::map<std::pair<std::uint32_t, std::uint32_t>, ServiceTotals> service_;  // by locality and class
-  std::map<std::uint32_t, std::uint64_t> limit_cuts_;                         // by class
-  std::map<ProxyId, Ms> without_endpoints_since_;  // registered proxies that a table without weights serves
+  std::map<std::uint32_t, Ms> unavailable_since_;       // draining and removed endpoints
+  std::map<std::pair<std::uint32_t, std::uint32_t>, ServiceTotals> service_totals_;  // by locality and class
+  std::map<std::uint32_t, std::uint64_t> limit_reductions_;                          // by class
+  std::map<ProxyId, Ms> without_endpoints_since_;  // registered proxies assigned to a table without weights
   std::uint64_t ejections_ = 0;
 };
 
--- a/src/assigner/core_status.cpp
+++ b/src/assigner/core_status.cpp
@@ -14,8 +14,8 @@
 nlohmann::json counters_json(const Counters& counters) {
   return {{"events", counters.events},
           {"actions", counters.actions},
-          {"messages", counters.messages},
-          {"lines", counters.lines},
+          {"messages", counters.update_messages},
+          {"lines", counters.updates},
           {"refused_streams", counters.refused_streams},
           {"broken_streams", counters.broken_streams},
           {"dropped_messages", counters.dropped_messages},
@@ -35,7 +35,7 @@
 }  // namespace
 
 FleetSnapshot fleet_snapshot(const CoreView& core, const CoreMetrics& metrics, Ms now) {
-  FleetSnapshot out;
+  FleetSnapshot snapshot;
   for (const EndpointListEntry& entry : core.endpoints.entries()) {
     FleetSnapshot::Endpoint endpoint{entry.id, entry.locality, entry.cell, entry.capacity,
                                      entry.state == EndpointState::available};
@@ -45,39 +45,39 @@
       endpoint.attempt_rate = activity->attempt_rate;
       endpoint.utilization = activity->utilization;
     }
-    out.endpoints.push_back(endpoint);
+    snapshot.endpoints.push_back(endpoint);
   }
   for (const auto& [proxy, stream] : core.sessions.proxies()) {
     const Session& session = core.sessions.session_of(stream);
-    out.proxies.push_back(
-        {raw(proxy), core.site.locality_of.find(session.address.ip).value_or(0), session.expected_rate,
-         session.messages.count(now, core.site.policy.message_window.count()), session.address});
+    snapshot.proxies.push_back(
+        {raw(proxy), core.settings.locality_of.find(session.address.ip).value_or(0), session.expected_rate,
+         session.message_history.count(now, core.settings.policy.message_window.count()), session.address});
   }
-  out.arrivals_by_class = metrics.arrivals_by_class(core.site.policy.classes.size());
-  out.streams = core.sessions.size();
-  return out;
+  snapshot.arrivals_by_class = metrics.arrivals_by_class(core.settings.policy.classes.size());
+  snapshot.streams = core.sessions.size();
+  return snapshot;
 }
 
 std::string status_json(const CoreView& core, Ms now) {
-  nlohmann::json out;
-  out["instance"] = core.site.instance;
-  out["epoch"] = core.epoch;
-  out["streams"] = core.sessions.size();
-  out["proxies"] = core.sessions.proxies().size();
-  out["list"] = {{"version", core.endpoints.version()},
-                 {"entries", core.endpoints.entries().size()},
-                 {"watching", core.watching}};
-  out["channel"] = {{"unconfirmed_lines", core.sessions.unacknowledged_lines()},
-                    {"unsent_messages", core.channel.queued()},
-                    {"free_in_ms", std::max(0.0, core.channel.free_at() - now)}};
-  out["reports"] = {{"waiting_lines", core.reports.pending_entries()}, {"taken", core.counters.reports}};
-  out["counters"] = counters_json(core.counters);
+  nlohmann::json status;
+  status["instance"] = core.settings.instance;
+  status["epoch"] = core.epoch;
+  status["streams"] = core.sessions.size();
+  status["proxies"] = core.sessions.proxies().size();
+  status["list"] = {{"version", core.endpoints.version()},
+                    {"entries", core.endpoints.entries().size()},
+                    {"watching", core.endpoint_watch_open}};
+  status["channel"] = {{"unconfirmed_lines", core.sessions.unacknowledged_lines()},
+                       {"unsent_messages", core.channel.queued_messages()},
+                       {"free_in_ms", std::max(0.0, core.channel.idle_at() - now)}};
+  status["reports"] = {{"waiting_lines", core.reports.pending_entries()}, {"taken", core.counters.reports}};
+  status["counters"] = counters_json(core.counters);
   nlohmann::json tables = nlohmann::json::object();
   for (const auto& [number, running] : core.controllers)
     for (const auto& [id, table] : running.tables.tables())
-      tables[std::to_string(wire_table_id(number, id))] = table_json(table, core.site.class_names);
-  out["tables"] = tables;
-  return out.dump();
+      tables[std::to_string(wire_table_id(number, id))] = table_json(table, core.settings.class_names);
+  status["tables"] = tables;
+  return status.dump();
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/core_status.h
+++ b/src/assigner/core_status.h
@@ -1,5 +1,5 @@
-// The core's state for people and for the validation of new settings: the status page and the fleet snapshot.
-// Pure reading; nothing is decided by it.
+// Read-only summaries of the core's state: the status page for operators, and the fleet snapshot against
+// which new settings are validated. No decision depends on them.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +12,31 @@
 
 namespace beamshunt::assigner {
 
-// What is known of the fleet at an instant: what a change of the settings is judged against.
+// The listed endpoints and registered proxies at one instant. Changes to the settings are validated against
+// this snapshot.
 struct FleetSnapshot {
   struct Endpoint {
     std::uint32_t id = 0, locality = 0, cell = 0;
-    double capacity = 1;
+    double capacity = 1;  // relative to other endpoints
     bool available = true;
-    Ms uptime = 1e12;  // since its start; long, if that is unknown
-    double attempt_rate = 0,
-           utilization = -1;  // attempts a second; utilization by its last report, below 0: unknown
+    Ms uptime = 1e12;                           // a long time if the start is unknown
+    double attempt_rate = 0, utilization = -1;  // attempts per second; last reported value, negative: unknown
     net::Address address{};
   };
   struct RegisteredProxy {
     std::uint32_t id = 0, locality = 0;
-    double expected_rate = 0;            // requests a second, as it announced
+    double expected_rate = 0;            // requests per second announced by the proxy; 0: unknown
     std::size_t messages_in_window = 0;  // update messages within the message window
     net::Address address{};
   };
-  std::vector<Endpoint> endpoints;        // listed
-  std::vector<RegisteredProxy> proxies;   // registered
-  std::vector<double> arrivals_by_class;  // requests by class since the start
-  std::size_t streams = 0;
+  std::vector<Endpoint> endpoints;
+  std::vector<RegisteredProxy> proxies;
+  std::vector<double> arrivals_by_class;  // requests since the assigner's start
+  std::size_t streams = 0;                // number of open streams
 };
 
 FleetSnapshot fleet_snapshot(const CoreView& core, const CoreMetrics& metrics, Ms now);
+// Returns the status page as a JSON object.
 std::string status_json(const CoreView& core, Ms now);
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/core_view.h
+++ b/src/assigner/core_view.h
@@ -1,4 +1,4 @@
-// The core's state as the status page, the metrics and the fleet snapshot read it.
+// A read-only view of the core's state for the status page, the metrics and the fleet snapshot.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 namespace beamshunt::assigner {
 
-// References into a living core: for one call, not to be kept.
+// Refers to parts of a running core. A view is valid for a single call and must not be stored.
 struct CoreView {
-  const AssignerSettings& site;
+  const AssignerSettings& settings;
   const SessionTable& sessions;
   const Handover::Controllers& controllers;
   const EndpointCatalog& endpoints;
@@ -23,8 +23,8 @@
   const UpdateChannel& channel;
   const Counters& counters;
   std::uint64_t epoch = 0;
-  bool watching = false;    // a watch on the endpoint list is open
-  Ms list_received_at = 0;  // when the watch last told anything
+  bool endpoint_watch_open = false;  // whether a watch on the endpoint list is open
+  Ms last_watch_activity_at = 0;     // time of the watch's last list or heartbeat
 };
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/effects.h
+++ b/src/assigner/effects.h
@@ -1,5 +1,5 @@
-// What the core asks its host to do. The core itself performs no I/O: the service carries effects out on
-// sockets, the emulator in simulated time.
+// The effects that the core requests from its host. The core itself performs no I/O: the service carries
+// effects out on sockets, and the emulator carries them out in simulated time.
 #pragma once
 
 #include <cstdint>
@@ -16,35 +16,40 @@
 
 using base::Ms;
 
-// A stream that was accepted or dialled. The host numbers them and uses no number twice.
+// Identifies an accepted or dialled stream. The host assigns the ids and never reuses one.
 enum class StreamId : std::uint64_t {};
 
 struct SendBytes {
   StreamId stream{};
   std::shared_ptr<const std::string> bytes;
 };
-struct CloseStream {  // after what was sent before; stream_closed() need not follow
+// Closes the stream after all bytes passed in earlier SendBytes effects were sent. The host need not call
+// stream_closed() afterwards.
+struct CloseStream {
   StreamId stream{};
 };
 struct DialPeer {
   std::uint32_t instance = 0;
   net::Address address{};
 };
-struct OpenEndpointWatch {};  // a new watch, or the present one anew: the complete list answers
+// Opens a watch on the endpoint list, or reopens the current one. Discovery answers with the complete list.
+struct OpenEndpointWatch {};
 struct CloseEndpointWatch {};
-struct FetchEndpointList {};  // once, beside the watch
+// Fetches the endpoint list once, independently of the watch.
+struct FetchEndpointList {};
 struct SendHealthCheckRequest {
   EndpointId endpoint{};
   net::Address address{};
 };
-struct SaveEndpointList {};  // encoded_endpoint_list(), as soon as the disk is free
+// Writes Core::encoded_endpoint_list() to disk as soon as the disk is free.
+struct SaveEndpointList {};
 struct AppendFlightRecord {
-  std::string bytes;  // to the flight record
+  std::string bytes;
 };
 struct WriteLogEvent {
   log::Level level = log::Level::info;
-  std::string event;   // a stable name
-  log::Fields fields;  // stable names
+  std::string event;   // stable event name that operators' tools match
+  log::Fields fields;  // values under stable field names
 };
 using Effect =
     std::variant<SendBytes, CloseStream, DialPeer, OpenEndpointWatch, CloseEndpointWatch, FetchEndpointList,
--- a/src/assigner/endpoint_list_json.cpp
+++ b/src/assigner/endpoint_list_json.cpp
@@ -14,58 +14,59 @@
 
 using nlohmann::json;
 
-// ms since 1970, in the year 33658: a larger start is a wrong unit or damage, not a date.
+// In ms since 1970; lies in the year 33658. A larger start time has a wrong unit or is damaged.
 constexpr double kMaxStartWallMs = 1e15;
-// Relative capacities outside these can't be weighed against others without losing all precision.
+// Relative capacities outside these bounds can't be combined with those of other endpoints without losing all
+// precision.
 constexpr double kMinCapacity = 1e-9;
 constexpr double kMaxCapacity = 1e9;
 
-const json& field(const json& object, const char* name) {
+const json& required_field(const json& object, const char* name) {
   auto found = object.find(name);
   if (found == object.end()) throw EndpointListError(name, "", std::string(name) + " is missing");
   return *found;
 }
 
-double number(const json& object, const char* name, double least, double most) {
-  const json& value = field(object, name);
-  double x = value.is_number() ? value.get<double>() : NAN;
-  bool in_range = x >= least && x <= most;  // false of NaN, as which anything but a number is read
+double number_field(const json& object, const char* name, double min, double max) {
+  const json& value = required_field(object, name);
+  double number = value.is_number() ? value.get<double>() : NAN;
+  bool in_range = number >= min && number <= max;  // false for NaN, which stands for any non-numeric value
   if (!in_range)
     throw EndpointListError(
         name, value.dump(),
-        fmt::format("{} is {}, not a number from {} to {}", name, value.dump(), least, most));
-  return x;
+        fmt::format("{} is {}, not a number from {} to {}", name, value.dump(), min, max));
+  return number;
 }
 
-std::uint64_t whole_number(const json& object, const char* name, std::uint64_t most) {
-  const json& value = field(object, name);
-  if (!value.is_number_unsigned() || value.get<std::uint64_t>() > most)
+std::uint64_t unsigned_field(const json& object, const char* name, std::uint64_t max) {
+  const json& value = required_field(object, name);
+  if (!value.is_number_unsigned() || value.get<std::uint64_t>() > max)
     throw EndpointListError(name, value.dump(),
-                            fmt::format("{} is {}, not a whole number up to {}", name, value.dump(), most));
+                            fmt::format("{} is {}, not an integer from 0 to {}", name, value.dump(), max));
   return value.get<std::uint64_t>();
 }
 
-const std::string& text(const json& object, const char* name) {
-  const json& value = field(object, name);
+const std::string& string_field(const json& object, const char* name) {
+  const json& value = required_field(object, name);
   if (!value.is_string())
     throw EndpointListError(name, value.dump(), fmt::format("{} is {}, not a string", name, value.dump()));
   return value.get_ref<const std::string&>();
 }
 
-[[noreturn]] void reject_text(const char* name, const std::string& value, const char* why) {
+[[noreturn]] void reject_text(const char* name, const std::string& value, const char* reason) {
   throw EndpointListError(name, json(value).dump(-1, ' ', false, json::error_handler_t::replace),
-                          std::string(name) + " \"" + value + "\" is " + why);
+                          std::string(name) + " \"" + value + "\" is " + reason);
 }
 
 std::uint32_t locality_index(const json& entry, const std::vector<std::string>& localities) {
-  const std::string& name = text(entry, "locality");
+  const std::string& name = string_field(entry, "locality");
   auto found = std::find(localities.begin(), localities.end(), name);
   if (found == localities.end()) reject_text("locality", name, "unknown");
   return static_cast<std::uint32_t>(found - localities.begin());
 }
 
 EndpointState endpoint_state(const json& entry) {
-  const std::string& name = text(entry, "state");
+  const std::string& name = string_field(entry, "state");
   if (name == "in_service") return EndpointState::available;
   if (name == "terminating") return EndpointState::draining;
   if (name == "terminated") return EndpointState::removed;
@@ -73,35 +74,35 @@
 }
 
 net::Address endpoint_address(const json& entry) {
-  const std::string& given = text(entry, "address");
-  auto address = net::parse_address(given);
-  if (!address || address->port == 0) reject_text("address", given, "none");
+  const std::string& text = string_field(entry, "address");
+  auto address = net::parse_address(text);
+  if (!address || address->port == 0) reject_text("address", text, "not an IPv4 address and port");
   return *address;
 }
 
-EndpointListEntry parse_entry(const json& given, const std::vector<std::string>& localities) {
-  if (!given.is_object()) throw EndpointListError("", "", "an entry is not an object");
+EndpointListEntry parse_entry(const json& json_entry, const std::vector<std::string>& localities) {
+  if (!json_entry.is_object()) throw EndpointListError("", "", "entry is not an object");
   EndpointListEntry entry;
-  entry.id = static_cast<std::uint32_t>(whole_number(given, "id", UINT32_MAX));
-  entry.locality = locality_index(given, localities);
-  entry.cell = static_cast<std::uint32_t>(whole_number(given, "cell", UINT32_MAX));
-  entry.capacity = number(given, "size", kMinCapacity, kMaxCapacity);
-  entry.state = endpoint_state(given);
-  entry.start_wall_ms = number(given, "started_ms", 0, kMaxStartWallMs);
-  entry.address = endpoint_address(given);
+  entry.id = static_cast<std::uint32_t>(unsigned_field(json_entry, "id", UINT32_MAX));
+  entry.locality = locality_index(json_entry, localities);
+  entry.cell = static_cast<std::uint32_t>(unsigned_field(json_entry, "cell", UINT32_MAX));
+  entry.capacity = number_field(json_entry, "size", kMinCapacity, kMaxCapacity);
+  entry.state = endpoint_state(json_entry);
+  entry.start_wall_ms = number_field(json_entry, "started_ms", 0, kMaxStartWallMs);
+  entry.address = endpoint_address(json_entry);
   return entry;
 }
 
 bool is_complete(const json& list) {
-  const std::string& kind = text(list, "kind");
+  const std::string& kind = string_field(list, "kind");
   if (kind != "total" && kind != "changes") reject_text("kind", kind, "unknown");
   return kind == "total";
 }
 
 }  // namespace
 
-EndpointListError::EndpointListError(std::string field, std::string value, const std::string& text)
-    : std::runtime_error(text), field_(std::move(field)), value_(std::move(value)) {}
+EndpointListError::EndpointListError(std::string field, std::string value, const std::string& message)
+    : std::runtime_error(message), field_(std::move(field)), value_(std::move(value)) {}
 
 EndpointListError EndpointListError::in_entry(std::size_t index) const {
   std::string entry = fmt::format("entries[{}]", index);
@@ -109,21 +110,21 @@
 }
 
 EndpointListUpdate parse_endpoint_list(std::string_view line, const std::vector<std::string>& localities) {
-  json given = json::parse(line, nullptr, false);
-  if (given.is_discarded() || !given.is_object()) throw EndpointListError("", "", "not a JSON object");
+  json message = json::parse(line, nullptr, false);
+  if (message.is_discarded() || !message.is_object()) throw EndpointListError("", "", "not a JSON object");
   EndpointListUpdate update;
-  update.complete = is_complete(given);
-  update.version = whole_number(given, "version", UINT64_MAX);
-  const json& entries = field(given, "entries");
-  if (!entries.is_array()) throw EndpointListError("entries", "", "entries is not a list");
+  update.complete = is_complete(message);
+  update.version = unsigned_field(message, "version", UINT64_MAX);
+  const json& entries = required_field(message, "entries");
+  if (!entries.is_array()) throw EndpointListError("entries", "", "entries is not an array");
   std::set<std::uint32_t> ids;
-  for (std::size_t k = 0; k < entries.size(); ++k) {
+  for (std::size_t index = 0; index < entries.size(); ++index) {
     try {
-      update.entries.push_back(parse_entry(entries[k], localities));
+      update.entries.push_back(parse_entry(entries[index], localities));
       std::uint32_t id = update.entries.back().id;
       if (!ids.insert(id).second) throw EndpointListError("id", std::to_string(id), "id is given twice");
     } catch (const EndpointListError& error) {
-      throw error.in_entry(k);
+      throw error.in_entry(index);
     }
   }
   return update;
--- a/src/assigner/handover.cpp
+++ b/src/assigner/handover.cpp
@@ -5,7 +5,7 @@
 
 namespace beamshunt::assigner {
 
-std::vector<Event> RunningController::take_events(Ms now) {
+std::vector<Event> RunningController::collect_events(Ms now) {
   while (!timers.empty() && timers.begin()->first <= now) {
     pending.emplace_back(TimerFired{timers.begin()->second});
     timers.erase(timers.begin());
@@ -44,48 +44,47 @@
 void Handover::transfer_proxy(std::uint32_t controller, ProxyId proxy) {
   auto owner = owners_.find(proxy);
   if (owner == owners_.end() || owner->second >= controller) return;
-  auto former = controllers_.find(std::exchange(owner->second, controller));
-  if (former == controllers_.end()) return;
-  former->second.tables.remove_proxy(proxy);
-  former->second.pending.emplace_back(ProxyDisconnected{proxy});
+  auto former_owner = controllers_.find(std::exchange(owner->second, controller));
+  if (former_owner == controllers_.end()) return;
+  former_owner->second.tables.remove_proxy(proxy);
+  former_owner->second.pending.emplace_back(ProxyDisconnected{proxy});
 }
 
 std::vector<std::uint32_t> Handover::retire_replaced_controllers() {
   std::vector<std::uint32_t> retired;
   if (!in_progress()) return retired;
-  std::set<std::uint32_t> owning{newest_number()};
-  for (const auto& [proxy, owner] : owners_) owning.insert(owner);
+  std::set<std::uint32_t> owning_controllers{newest_number()};
+  for (const auto& [proxy, owner] : owners_) owning_controllers.insert(owner);
   for (const auto& [number, running] : controllers_)
-    if (!owning.contains(number)) retired.push_back(number);
+    if (!owning_controllers.contains(number)) retired.push_back(number);
   for (std::uint32_t number : retired) controllers_.erase(number);
   return retired;
 }
 
 void Handover::count_message(std::uint32_t controller, ProxyId proxy) {
   for (auto& [number, running] : controllers_)
-    if (number != controller) ++running.others_messages[proxy];
+    if (number != controller) ++running.other_messages[proxy];
 }
 
 void Handover::deliver_shared_channel_usage(const SessionTable::Sessions& sessions) {
   if (!shares_channel_) return;
-  std::map<std::uint32_t, double> lines_of;  // by controller, also of retired ones
-  double all_lines = 0;
+  std::map<std::uint32_t, double> lines_by_controller;  // including retired controllers
+  double total_lines = 0;
   for (const auto& [stream, session] : sessions) {
-    for (const UnacknowledgedMessage& message : session.acks.messages()) {
-      lines_of[message.controller] += message.lines;
-      all_lines += message.lines;
+    for (const UnacknowledgedMessage& message : session.ack_tracker.messages()) {
+      lines_by_controller[message.controller] += message.lines;
+      total_lines += message.lines;
     }
   }
-  bool any_of_others = false;
+  bool any_other_lines = false;
   for (auto& [number, running] : controllers_) {
-    double others_lines = all_lines - lines_of[number];
-    any_of_others |= others_lines > 0;
-    if (others_lines == running.others_lines && running.others_messages.empty()) continue;
-    running.pending.emplace_back(
-        SharedChannelUsage{others_lines, std::exchange(running.others_messages, {})});
-    running.others_lines = others_lines;
+    double other_lines = total_lines - lines_by_controller[number];
+    any_other_lines |= other_lines > 0;
+    if (other_lines == running.other_lines && running.other_messages.empty()) continue;
+    running.pending.emplace_back(SharedChannelUsage{other_lines, std::exchange(running.other_messages, {})});
+    running.other_lines = other_lines;
   }
-  shares_channel_ = any_of_others || in_progress();
+  shares_channel_ = any_other_lines || in_progress();
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/handover.h
+++ b/src/assigner/handover.h
@@ -1,8 +1,8 @@
-// The running controllers. Other policy settings start a new controller, which takes the proxies over one
-// after the other, at the pace of the channel: until it has assigned a proxy its first table, the former
-// controller goes on updating that proxy, so that none is ever without endpoints and no drain waits. This
-// module keeps who owns which proxy, what each must know of the others' use of the channel, and which has
-// been replaced. It sends nothing.
+// The running controllers and the handover between them. New policy settings start a new controller, which
+// takes proxies over one by one at the pace of the update channel. The former controller keeps updating a
+// proxy until the new one has assigned that proxy its first table, so that no proxy is ever left without
+// endpoints and no drain is delayed. This module tracks which controller owns each proxy, how much of the
+// shared channel the other controllers use, and which controllers are replaced. It sends nothing.
 #pragma once
 
 #include <cstdint>
@@ -15,59 +15,68 @@
 
 namespace beamshunt::assigner {
 
-// One controller and what it has decided for all proxies.
+// A controller with its pending events, its timers, and the tables that it has decided.
 struct RunningController {
   explicit RunningController(const Settings& settings)
       : controller(settings), tables(settings.classes.size()) {}
 
-  // Turns timers whose deadline is reached into events, then takes all events that wait.
-  std::vector<Event> take_events(Ms now);
+  // Converts expired timers to events; then removes and returns all pending events.
+  std::vector<Event> collect_events(Ms now);
 
   Controller controller;
   assignments::AssignmentTables tables;
-  std::vector<Event> pending;               // for its next batch
-  std::multimap<Ms, std::uint64_t> timers;  // tokens by deadline
-  std::map<ProxyId, int> others_messages;   // of other controllers, since the last SharedChannelUsage
-  double others_lines = 0;                  // unacknowledged ones of others, by the last SharedChannelUsage
+  std::vector<Event> pending;               // events for the next batch
+  std::multimap<Ms, std::uint64_t> timers;  // timer tokens by deadline
+  // Messages that other controllers sent to each proxy since the last SharedChannelUsage.
+  std::map<ProxyId, int> other_messages;
+  double other_lines = 0;  // other controllers' unacknowledged lines as of the last SharedChannelUsage
 };
 
 class Handover {
  public:
-  using Controllers = std::map<std::uint32_t, RunningController>;  // by number, the newest last
+  using Controllers = std::map<std::uint32_t, RunningController>;  // by number; the newest is last
 
-  explicit Handover(const Settings& settings);  // controller 0 runs
+  // Starts controller 0.
+  explicit Handover(const Settings& settings);
 
   [[nodiscard]] Controllers& controllers() { return controllers_; }
   [[nodiscard]] const Controllers& controllers() const { return controllers_; }
   [[nodiscard]] RunningController& newest() { return controllers_.rbegin()->second; }
   [[nodiscard]] std::uint32_t newest_number() const { return controllers_.rbegin()->first; }
-  // Whether a former controller still owns proxies.
+  // Returns whether a former controller is still running.
   [[nodiscard]] bool in_progress() const { return controllers_.size() > 1; }
-  // Whether messages of a former controller are still in the channel, or a former one runs.
+  // Returns whether a former controller is running or has unacknowledged messages in the channel.
   [[nodiscard]] bool shares_channel() const { return shares_channel_ || in_progress(); }
 
-  // Starts a controller that takes over from all before it. Returns its number.
+  // Starts a controller that takes over from all earlier ones. Returns its number.
   std::uint32_t start_controller(const Settings& settings);
-  void deliver(const Event& event);  // to every controller
+  // Adds the event to the pending events of every controller.
+  void deliver(const Event& event);
 
   // ---- Ownership. Exactly one controller updates a registered proxy. ----
-  void register_proxy(ProxyId proxy);  // with the newest controller
-  void remove_proxy(ProxyId proxy);    // it has disconnected
+  // Makes the newest controller the owner of a newly registered proxy.
+  void register_proxy(ProxyId proxy);
+  // Removes a disconnected proxy.
+  void remove_proxy(ProxyId proxy);
   [[nodiscard]] bool owns(std::uint32_t controller, ProxyId proxy) const;
-  // The controller assigns the proxy its first table: a former owner is told that the proxy has gone.
+  // Makes `controller` the owner of a proxy that it assigns its first table. A former owner receives
+  // ProxyDisconnected. Does nothing if the proxy is not registered or already owned by this or a newer
+  // controller.
   void transfer_proxy(std::uint32_t controller, ProxyId proxy);
-  // Forgets controllers that own no proxy any more, the newest excepted. Returns their numbers.
+  // Removes all controllers but the newest that own no proxy. Returns their numbers.
   std::vector<std::uint32_t> retire_replaced_controllers();
 
   // ---- The shared channel ----
-  void count_message(std::uint32_t controller, ProxyId proxy);  // that this controller sent
-  // While several controllers send through one channel, each must know what the others have in it, or
-  // together they would pass the limits on queued lines and on messages to a proxy.
+  // Records that `controller` sent a message to `proxy`.
+  void count_message(std::uint32_t controller, ProxyId proxy);
+  // Sends SharedChannelUsage to each controller whose view is out of date. Several controllers that send
+  // through one channel must know each other's usage; otherwise they would together exceed the limits on
+  // queued lines and on messages to a proxy.
   void deliver_shared_channel_usage(const SessionTable::Sessions& sessions);
 
  private:
   Controllers controllers_;
-  std::map<ProxyId, std::uint32_t> owners_;  // of registered proxies
+  std::map<ProxyId, std::uint32_t> owners_;  // controller numbers of registered proxies
   bool shares_channel_ = false;
 };
 
--- a/src/assigner/report_intake.h
+++ b/src/assigner/report_intake.h
@@ -1,6 +1,7 @@
-// Load reports on their way to the controllers: summed by locality and endpoint, and by proxy and class, and
-// released at a bounded rate, the longest waiting first, so that a burst of reports costs the controllers no
-// more than its rate allows. What waits is bounded by the number of such pairs. It decides nothing else.
+// Aggregates load reports on their way to the controllers: endpoint reports by locality and endpoint, demand
+// reports by proxy and class. A token bucket limits the rate at which aggregates are released, oldest first,
+// so that a burst of reports does not overload the controllers. Memory is bounded by the number of distinct
+// keys.
 #pragma once
 
 #include <cstddef>
@@ -20,41 +21,45 @@
 
 class ReportIntake {
  public:
-  // `entries_per_second`: summed entries that release() gives out at most.
+  // `entries_per_second` is the maximum rate at which release() returns aggregates.
   explicit ReportIntake(double entries_per_second) : entries_per_second_(entries_per_second) {}
 
   void set_rate(double entries_per_second) { entries_per_second_ = entries_per_second; }
-  // Attempts from proxies of a locality at an endpoint within [begin, end].
-  void add_endpoint_report(Locality from, const channel::EndpointReportEntry& entry, Ms begin, Ms end);
+  // Adds the attempts that proxies of `proxy_locality` made at an endpoint within [begin, end].
+  void add_endpoint_report(Locality proxy_locality, const channel::EndpointReportEntry& entry, Ms begin,
+                           Ms end);
+  // Adds the requests of one class that arrived at `proxy` within [begin, end].
   void add_demand_report(ProxyId proxy, const channel::DemandReportEntry& entry, Ms begin, Ms end);
-  // The proxy has disconnected: what it reported of its own requests concerns nobody any more.
+  // Discards the pending demand reports of a disconnected proxy.
   void remove_proxy(ProxyId proxy);
-  // EndpointReports and DemandReports that may go out now: the rate times the time since the last call, a
-  // second's worth at most.
+  // Removes and returns the oldest aggregates as EndpointReport and DemandReport events, as many as the rate
+  // allows. Unused capacity accumulates for one second at most.
   std::vector<Event> release(Ms now);
-  [[nodiscard]] std::size_t pending_entries() const { return order_.size(); }  // summed entries
-  [[nodiscard]] Ms oldest_wait(Ms now) const;  // of the longest waiting; 0: none waits
+  [[nodiscard]] std::size_t pending_entries() const { return release_order_.size(); }
+  // Returns how long the oldest pending aggregate has waited; 0 if none is pending.
+  [[nodiscard]] Ms oldest_wait(Ms now) const;
 
  private:
   using EndpointKey = std::pair<Locality, EndpointId>;
   using DemandKey = std::pair<ProxyId, ClassId>;
   using Key = std::variant<EndpointKey, DemandKey>;
-  struct Sum {
+  struct Aggregate {
     Ms begin = 0;
     Ms end = 0;
     Ms first_added_at = 0;
-    double total = 0;  // attempts or arrivals
+    double total = 0;  // attempts of an endpoint key, arrivals of a demand key
     double failed = 0;
-    double mean_latency = 0;  // of successful attempts
-    LoadReport load;          // the newest
+    double mean_latency = 0;  // mean over successful attempts, in ms
+    LoadReport load;          // most recent load report that was not empty
   };
-  Sum& sum(const Key& key, Ms begin, Ms end);
+  // Returns the key's aggregate, extended to cover [begin, end]; creates an empty one if necessary.
+  Aggregate& find_or_add(const Key& key, Ms begin, Ms end);
 
   double entries_per_second_;
-  double allowance_ = 0;  // entries that may be released
-  Ms released_at_ = -1;   // below 0: never
-  std::map<Key, Sum> sums_;
-  std::deque<Key> order_;  // of sums_, by first_added_at
+  double tokens_ = 0;        // aggregates that may be released
+  Ms last_release_at_ = -1;  // negative before the first call of release()
+  std::map<Key, Aggregate> aggregates_;
+  std::deque<Key> release_order_;  // keys of aggregates_, by first_added_at
 };
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/session.cpp
+++ b/src/assigner/session.cpp
@@ -10,7 +10,7 @@
   if (state == SessionState::handshake_pending) return opened_at + timeouts.handshake;
   Ms due = std::min(last_received_at + kHeartbeatsUntilDead * timeouts.heartbeat,
                     std::max(last_sent_at, last_received_at) + timeouts.heartbeat);
-  if (auto deadline = acks.deadline(timeouts.ack)) due = std::min(due, *deadline);
+  if (auto deadline = ack_tracker.deadline(timeouts.ack)) due = std::min(due, *deadline);
   return due;
 }
 
@@ -20,11 +20,12 @@
   } else if (now >= last_received_at + kHeartbeatsUntilDead * timeouts.heartbeat) {
     return SessionCheck::unresponsive;
   }
-  // Alive and not applying updates: its lines would fill the channel's queue and hold up everybody's updates.
-  if (auto deadline = acks.deadline(timeouts.ack); deadline && now >= *deadline)
+  // A proxy that responds but applies no updates must not stay connected: the lines of its unacknowledged
+  // messages would fill the channel's queue and delay the updates of all other proxies.
+  if (auto deadline = ack_tracker.deadline(timeouts.ack); deadline && now >= *deadline)
     return SessionCheck::ack_overdue;
   if (now >= std::max(last_sent_at, last_received_at) + timeouts.heartbeat) return SessionCheck::ping_due;
-  return SessionCheck::nothing;
+  return SessionCheck::none;
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/session.h
+++ b/src/assigner/session.h
@@ -1,5 +1,6 @@
-// One stream to the assigner: who is at its other side, how far its handshake is, when it last spoke, and
-// what it has not acknowledged. It tells what is due by the clock; it sends nothing and closes nothing.
+// The state of one stream to the assigner: its remote side, the progress of its handshake, the times of its
+// last traffic, and the update messages that are not acknowledged. A session computes which timeouts have
+// expired; it sends nothing and closes nothing.
 #pragma once
 
 #include <cstdint>
@@ -15,45 +16,47 @@
 using base::Ms;
 
 enum class SessionState : std::uint8_t {
-  handshake_pending,  // it has not said who it is
-  proxy,              // registered
-  peer,               // another assigner
+  handshake_pending,  // no Hello or PeerHello received yet
+  proxy,              // registered proxy
+  peer,               // peer assigner
 };
 
 struct SessionTimeouts {
-  Ms handshake = 0;  // from opening to the first frame
-  Ms heartbeat = 0;  // a side that sent nothing for so long sends a ping
-  Ms ack = 0;        // from a message's leaving the channel to its acknowledgement
+  Ms handshake = 0;  // from the stream's opening to its first frame
+  Ms heartbeat = 0;  // idle time after which a side sends a ping
+  Ms ack = 0;        // from sending a message to its acknowledgement
 };
 
-// What the clock asks of a session.
+// Result of checking a session against its timeouts.
 enum class SessionCheck : std::uint8_t {
-  nothing,
+  none,
   handshake_timed_out,
-  unresponsive,  // no byte for kHeartbeatsUntilDead heartbeats
-  ack_overdue,   // it is alive, but does not apply updates
+  unresponsive,  // no byte received for kHeartbeatsUntilDead heartbeats
+  ack_overdue,   // the proxy responds but does not apply updates
   ping_due,
 };
 
 struct Session {
   SessionState state = SessionState::handshake_pending;
-  net::Address address{};  // of the other side
+  net::Address address{};  // remote address
   channel::FrameParser parser;
   Ms opened_at = 0;
   Ms last_received_at = 0;
   Ms last_sent_at = 0;
-  std::uint32_t id = 0;  // of the proxy, or the peer's instance
+  std::uint32_t id = 0;  // proxy id, or instance number of a peer
   std::uint64_t incarnation = 0;
   std::uint32_t attempt = 0;
-  double expected_rate = 0;           // requests a second, as the proxy announced
-  std::uint64_t update_sequence = 0;  // of the last update message
-  std::uint64_t report_sequence = 0;  // of the last load report
-  AckTracker acks;
-  MessageHistory messages;
-  Ms check_at = 0;  // SessionTable's: when check() is due
-
-  // When check() may first return anything but `nothing`, if no byte moves until then.
+  double expected_rate = 0;           // requests per second announced by the proxy; 0: unknown
+  std::uint64_t update_sequence = 0;  // sequence number of the last update message
+  std::uint64_t report_sequence = 0;  // sequence number of the last load report
+  AckTracker ack_tracker;
+  MessageHistory message_history;
+  Ms check_at = 0;  // time at which check() is due; set by SessionTable
+
+  // Returns the earliest time at which check() may return a result other than `none`, provided that no bytes
+  // are sent or received until then.
   [[nodiscard]] Ms next_check(const SessionTimeouts& timeouts) const;
+  // Returns the expired timeout that has to be handled at `now`, or `none`.
   [[nodiscard]] SessionCheck check(const SessionTimeouts& timeouts, Ms now) const;
 };
 
--- a/src/assigner/session_protocol.cpp
+++ b/src/assigner/session_protocol.cpp
@@ -11,20 +11,23 @@
 using channel::kHeartbeatsUntilDead;
 using channel::RefuseCode;
 
-// Between dials of one peer: soon enough for gossip, seldom enough for a peer that is down.
+// Interval between attempts to dial the same peer, in ms: short enough for gossip between controllers, long
+// enough not to load a peer that is down.
 constexpr Ms kRedialInterval = 500;
-// Who has not said who he is gets no memory to fill: a hello is far shorter.
+// Frame limit before the handshake, so that unidentified clients can't fill the memory. A hello is far
+// shorter.
 constexpr std::size_t kMaxHandshakeFrameBytes = 1024;
-// What a proxy is told when no more streams are taken: time for some to end.
+// Delay in ms after which a proxy refused for too many streams may retry: some streams may have ended by
+// then.
 constexpr Ms kRetryWhenFull = 1000;
 constexpr const char* kStoppingReason = "this assigner is stopping";
 
 }  // namespace
 
-SessionProtocol::SessionProtocol(const AssignerSettings& site, std::uint64_t epoch, Ms now,
+SessionProtocol::SessionProtocol(const AssignerSettings& settings, std::uint64_t epoch, Ms now,
                                  SessionListener& listener, std::vector<Effect>& effects, Counters& counters)
-    : site_(site), epoch_(epoch), listener_(listener), effects_(effects), counters_(counters) {
-  for (const auto& [instance, address] : site_.peers) dial_at_[instance] = now;
+    : settings_(settings), epoch_(epoch), listener_(listener), effects_(effects), counters_(counters) {
+  for (const auto& [instance, address] : settings_.peers) next_dial_at_[instance] = now;
 }
 
 void SessionProtocol::log(log::Level level, std::string event, log::Fields fields) {
@@ -32,30 +35,31 @@
 }
 
 SessionTimeouts SessionProtocol::timeouts() const {
-  return {.handshake = site_.hello_within, .heartbeat = site_.heartbeat, .ack = site_.confirm_within};
+  return {
+      .handshake = settings_.hello_within, .heartbeat = settings_.heartbeat, .ack = settings_.confirm_within};
 }
 
-// ---- What happens on streams ----
+// ---- Events on streams ----
 
-void SessionProtocol::opened(StreamId stream, net::Address peer, Ms now) {
+void SessionProtocol::stream_opened(StreamId stream, net::Address peer, Ms now) {
   auto session = sessions_.open(stream, now);
   session->second.address = peer;
   session->second.parser = channel::FrameParser(kMaxHandshakeFrameBytes);
   sessions_.schedule_check(session, timeouts());
   if (stopping_) return refuse(session, RefuseCode::stopping, kStoppingReason, 0, now);
-  if (sessions_.size() > site_.most_streams)
+  if (sessions_.size() > settings_.most_streams)
     return refuse(session, RefuseCode::full,
-                  fmt::format("{} streams are open, no more are taken", site_.most_streams), kRetryWhenFull,
-                  now);
-  if (!site_.admits_all && !site_.admitted.find(peer.ip))
+                  fmt::format("the limit of {} open streams is reached", settings_.most_streams),
+                  kRetryWhenFull, now);
+  if (!settings_.admits_all && !settings_.admitted.find(peer.ip))
     return refuse(session, RefuseCode::bad_locality, "the peer's address is not admitted", 0, now);
 }
 
 void SessionProtocol::peer_dialled(StreamId stream, std::uint32_t instance, Ms now) {
   auto session = sessions_.open(stream, now);
-  session->second.parser = channel::FrameParser(site_.most_frame);
+  session->second.parser = channel::FrameParser(settings_.most_frame);
   sessions_.register_dialled_peer(session, instance);
-  send_frame(session, channel::PeerHello{.instance = site_.instance}, now);
+  send_frame(session, channel::PeerHello{.instance = settings_.instance}, now);
 }
 
 void SessionProtocol::bytes_received(StreamId stream, std::string_view bytes, Ms now) {
@@ -75,11 +79,11 @@
   sessions_.schedule_check(session, timeouts());
 }
 
-void SessionProtocol::closed(StreamId stream, const std::string& reason, Ms now) {
+void SessionProtocol::stream_closed(StreamId stream, const std::string& reason, Ms now) {
   auto session = sessions_.find(stream);
   if (session == sessions_.end()) return;
   ++counters_.broken_streams;
-  end(session, reason, now);
+  end_session(session, reason, now);
 }
 
 // ---- Frames ----
@@ -87,7 +91,7 @@
 void SessionProtocol::handle_frame(Iterator session, const channel::Frame& frame, Ms now) {
   if (const auto* refused = std::get_if<channel::Refuse>(&frame)) {
     effects_.emplace_back(CloseStream{session->first});
-    return end(session, "refused by the peer: " + refused->reason, now);
+    return end_session(session, "refused by the other side: " + refused->reason, now);
   }
   bool handled = handle_heartbeat_frame(session, frame, now);
   if (handled) return;
@@ -113,7 +117,8 @@
     send_frame(session, channel::Pong{ping->token}, now);
     return true;
   }
-  return std::holds_alternative<channel::Pong>(frame);  // its bytes have shown that the other side lives
+  // A Pong needs no action: any received byte has already shown that the other side is alive.
+  return std::holds_alternative<channel::Pong>(frame);
 }
 
 bool SessionProtocol::handle_handshake_frame(Iterator session, const channel::Frame& frame, Ms now) {
@@ -148,42 +153,46 @@
 }
 
 void SessionProtocol::register_proxy(Iterator session, const channel::Hello& hello, Ms now) {
-  Session& s = session->second;
-  auto locality = site_.locality_of.find(s.address.ip);
+  Session& proxy_session = session->second;
+  auto locality = settings_.locality_of.find(proxy_session.address.ip);
   if (!locality)
     return refuse(session, RefuseCode::bad_locality, "the peer's address is in no locality of the settings",
                   0, now);
-  const std::string& name = site_.policy.localities[*locality];
+  const std::string& name = settings_.policy.localities[*locality];
   if (hello.locality != name)
     return refuse(session, RefuseCode::bad_locality,
                   fmt::format(R"(proxy {} says it is in "{}", its address is in "{}")", hello.proxy,
                               hello.locality, name),
                   0, now);
   if (!replace_former_session(session, hello, now)) return;
-  s.parser.allow(site_.most_frame);
-  s.incarnation = hello.incarnation;
-  s.attempt = hello.attempt;
-  s.expected_rate = hello.expected_rate;
+  proxy_session.parser.allow(settings_.most_frame);
+  proxy_session.incarnation = hello.incarnation;
+  proxy_session.attempt = hello.attempt;
+  proxy_session.expected_rate = hello.expected_rate;
   sessions_.register_proxy(session, hello.proxy);
   log(log::Level::info, "proxy_registered",
-      {{"proxy", std::to_string(hello.proxy)}, {"peer", net::to_string(s.address)}, {"locality", name}});
+      {{"proxy", std::to_string(hello.proxy)},
+       {"peer", net::to_string(proxy_session.address)},
+       {"locality", name}});
   send_welcome(session, now);
-  listener_.proxy_registered(s, Locality(*locality), hello);
+  listener_.proxy_registered(proxy_session, Locality(*locality), hello);
 }
 
 bool SessionProtocol::replace_former_session(Iterator session, const channel::Hello& hello, Ms now) {
   auto former = sessions_.find_proxy(ProxyId{hello.proxy});
   if (former == sessions_.end()) return true;
-  const Session& f = former->second;
-  // The same run of the proxy has dialled again: the former stream is half open. Another run with the same id
-  // is a restart if the former stream is silent, and else a second proxy by the same id, which must not push
-  // the first one out: the two would do so to each other for ever.
-  bool same_run = f.incarnation == hello.incarnation && hello.attempt > f.attempt;
-  Ms dead_after = kHeartbeatsUntilDead * site_.heartbeat;
-  if (!same_run && now - f.last_received_at <= dead_after) {
+  const Session& former_session = former->second;
+  // If the same run of the proxy dials again, the former stream is half open and is replaced. Another run
+  // with this id is a restarted proxy if the former stream is silent. Otherwise it is a second proxy
+  // configured with the same id and is refused: if it replaced the first one, the two would replace each
+  // other for ever.
+  bool same_run = former_session.incarnation == hello.incarnation && hello.attempt > former_session.attempt;
+  Ms silence_limit = kHeartbeatsUntilDead * settings_.heartbeat;
+  if (!same_run && now - former_session.last_received_at <= silence_limit) {
     refuse(session, RefuseCode::id_in_use,
-           fmt::format("proxy {} has a live stream from {}", hello.proxy, net::to_string(f.address)),
-           dead_after, now);
+           fmt::format("proxy {} has a live stream from {}", hello.proxy,
+                       net::to_string(former_session.address)),
+           silence_limit, now);
     return false;
   }
   refuse(former, RefuseCode::replaced, fmt::format("proxy {} has a newer stream", hello.proxy), 0, now);
@@ -191,67 +200,70 @@
 }
 
 void SessionProtocol::register_peer(Iterator session, const channel::PeerHello& hello, Ms now) {
-  Session& s = session->second;
-  bool known = std::any_of(site_.peers.begin(), site_.peers.end(), [&](const auto& peer) {
-    return peer.first == hello.instance && peer.second.ip == s.address.ip;
+  Session& peer_session = session->second;
+  bool known = std::any_of(settings_.peers.begin(), settings_.peers.end(), [&](const auto& peer) {
+    return peer.first == hello.instance && peer.second.ip == peer_session.address.ip;
   });
   if (!known)
     return refuse(session, RefuseCode::unexpected,
-                  fmt::format("instance {} is no peer of these settings, or not from there", hello.instance),
+                  fmt::format("instance {} is not a configured peer, or is configured with another address",
+                              hello.instance),
                   0, now);
-  s.parser.allow(site_.most_frame);
-  s.state = SessionState::peer;
-  s.id = hello.instance;
+  peer_session.parser.allow(settings_.most_frame);
+  peer_session.state = SessionState::peer;
+  peer_session.id = hello.instance;
   log(log::Level::info, "peer_connected", {{"instance", std::to_string(hello.instance)}});
   sessions_.schedule_check(session, timeouts());
 }
 
 void SessionProtocol::handle_acknowledgement(Iterator session,
                                              const channel::Acknowledgement& acknowledgement, Ms now) {
-  Session& s = session->second;
-  if (acknowledgement.sequence > s.update_sequence)
-    return refuse(
-        session, RefuseCode::unexpected,
-        fmt::format("message {} is confirmed, {} were sent", acknowledgement.sequence, s.update_sequence), 0,
-        now);
-  listener_.messages_acknowledged(ProxyId{s.id}, s.acks.acknowledge(acknowledgement.sequence), now);
+  Session& proxy_session = session->second;
+  if (acknowledgement.sequence > proxy_session.update_sequence)
+    return refuse(session, RefuseCode::unexpected,
+                  fmt::format("message {} is acknowledged, but only {} were sent", acknowledgement.sequence,
+                              proxy_session.update_sequence),
+                  0, now);
+  listener_.messages_acknowledged(ProxyId{proxy_session.id},
+                                  proxy_session.ack_tracker.acknowledge(acknowledgement.sequence), now);
 }
 
 void SessionProtocol::handle_load_report(Iterator session, const channel::LoadReportMessage& report, Ms now) {
-  std::size_t class_count = site_.policy.classes.size();
+  std::size_t class_count = settings_.policy.classes.size();
   for (const channel::DemandReportEntry& entry : report.demand)
     if (entry.request_class >= class_count)
       return refuse(session, RefuseCode::unexpected,
                     fmt::format("a report on class {}, there are {}", entry.request_class, class_count), 0,
                     now);
-  if (report.sequence <= session->second.report_sequence) return;  // it is counted already
+  if (report.sequence <= session->second.report_sequence) return;  // the report was counted before
   session->second.report_sequence = report.sequence;
   listener_.load_report_received(session->second, report, now);
 }
 
-// ---- What this side does ----
+// ---- Actions of this side ----
 
 void SessionProtocol::expire_timeouts(Ms now) {
-  for (auto session = sessions_.due(now); session != sessions_.end(); session = sessions_.due(now)) {
-    const Session& s = session->second;
-    switch (s.check(timeouts(), now)) {
+  for (auto session = sessions_.find_due(now); session != sessions_.end();
+       session = sessions_.find_due(now)) {
+    const Session& due_session = session->second;
+    switch (due_session.check(timeouts(), now)) {
       case SessionCheck::handshake_timed_out:
         refuse(session, RefuseCode::silent, "no hello in time", 0, now);
         break;
       case SessionCheck::unresponsive:
-        refuse(session, RefuseCode::silent, fmt::format("no byte for {} ms", now - s.last_received_at), 0,
-               now);
+        refuse(session, RefuseCode::silent,
+               fmt::format("no byte received for {} ms", now - due_session.last_received_at), 0, now);
         break;
       case SessionCheck::ack_overdue:
         refuse(session, RefuseCode::silent,
-               fmt::format("message {} is not confirmed after {} ms", s.acks.oldest().sequence,
-                           site_.confirm_within),
+               fmt::format("message {} is not confirmed after {} ms",
+                           due_session.ack_tracker.oldest().sequence, settings_.confirm_within),
                0, now);
         break;
       case SessionCheck::ping_due:
-        send_frame(session, channel::Ping{s.update_sequence}, now);
+        send_frame(session, channel::Ping{due_session.update_sequence}, now);
         break;
-      case SessionCheck::nothing:
+      case SessionCheck::none:
         sessions_.schedule_check(session, timeouts());
         break;
     }
@@ -259,20 +271,20 @@
 }
 
 void SessionProtocol::dial_peers(Ms now) {
-  for (const auto& [instance, address] : site_.peers) {
-    Ms& due = dial_at_.at(instance);
+  for (const auto& [instance, address] : settings_.peers) {
+    Ms& due = next_dial_at_.at(instance);
     if (stopping_ || due > now || sessions_.dialled_peers().contains(instance)) continue;
     due = now + kRedialInterval;
     effects_.emplace_back(DialPeer{instance, address});
   }
 }
 
-void SessionProtocol::site_changed(bool announce, Ms now) {
+void SessionProtocol::settings_changed(bool announce, Ms now) {
   for (auto session = sessions_.begin(); session != sessions_.end(); ++session) {
-    Session& s = session->second;
-    if (s.state == SessionState::handshake_pending) continue;
-    s.parser.allow(site_.most_frame);
-    if (announce && s.state == SessionState::proxy) send_welcome(session, now);
+    Session& open_session = session->second;
+    if (open_session.state == SessionState::handshake_pending) continue;
+    open_session.parser.allow(settings_.most_frame);
+    if (announce && open_session.state == SessionState::proxy) send_welcome(session, now);
     sessions_.schedule_check(session, timeouts());
   }
 }
@@ -289,7 +301,7 @@
 }
 
 void SessionProtocol::message_enqueued(Iterator session, UnacknowledgedMessage message) {
-  session->second.acks.add(std::move(message));
+  session->second.ack_tracker.add(std::move(message));
   sessions_.schedule_check(session, timeouts());
 }
 
@@ -311,8 +323,8 @@
 void SessionProtocol::send_welcome(Iterator session, Ms now) {
   send_frame(session,
              channel::Welcome{.epoch = epoch_,
-                              .heartbeat_ms = site_.heartbeat,
-                              .report_period_ms = site_.policy.report_period.count()},
+                              .heartbeat_ms = settings_.heartbeat,
+                              .report_period_ms = settings_.policy.report_period.count()},
              now);
 }
 
@@ -325,18 +337,18 @@
        {"reason", reason}});
   send_frame(session, channel::Refuse{code, retry_after, reason}, now);
   effects_.emplace_back(CloseStream{session->first});
-  end(session, reason, now);
+  end_session(session, reason, now);
 }
 
-void SessionProtocol::end(Iterator session, const std::string& reason, Ms now) {
-  const Session& s = session->second;
-  const SessionState state = s.state;
-  const std::uint32_t id = s.id;
+void SessionProtocol::end_session(Iterator session, const std::string& reason, Ms now) {
+  const Session& ended_session = session->second;
+  const SessionState state = ended_session.state;
+  const std::uint32_t id = ended_session.id;
   if (state == SessionState::proxy) {
     log(log::Level::info, "proxy_disconnected",
-        {{"proxy", std::to_string(id)}, {"peer", net::to_string(s.address)}, {"reason", reason}});
+        {{"proxy", std::to_string(id)}, {"peer", net::to_string(ended_session.address)}, {"reason", reason}});
   } else if (state == SessionState::peer) {
-    dial_at_[id] = now + kRedialInterval;
+    next_dial_at_[id] = now + kRedialInterval;
     log(log::Level::info, "peer_disconnected", {{"instance", std::to_string(id)}, {"reason", reason}});
   }
   sessions_.erase(session);
--- a/src/assigner/session_table.cpp
+++ b/src/assigner/session_table.cpp
@@ -11,14 +11,15 @@
 }
 
 void SessionTable::erase(Iterator session) {
-  const auto& [stream, s] = *session;
-  if (s.state == SessionState::proxy) {
-    proxies_.erase(ProxyId{s.id});
-  } else if (s.state == SessionState::peer) {
-    auto indexed = peers_.find(s.id);  // another stream of the peer may have the entry
-    if (indexed != peers_.end() && indexed->second == stream) peers_.erase(indexed);
+  const auto& [stream, erased_session] = *session;
+  if (erased_session.state == SessionState::proxy) {
+    proxies_.erase(ProxyId{erased_session.id});
+  } else if (erased_session.state == SessionState::peer) {
+    auto indexed =
+        dialled_peers_.find(erased_session.id);  // the entry may belong to another stream of the peer
+    if (indexed != dialled_peers_.end() && indexed->second == stream) dialled_peers_.erase(indexed);
   }
-  checks_.erase({s.check_at, stream});
+  checks_.erase({erased_session.check_at, stream});
   sessions_.erase(session);
 }
 
@@ -31,7 +32,7 @@
 void SessionTable::register_dialled_peer(Iterator session, std::uint32_t instance) {
   session->second.state = SessionState::peer;
   session->second.id = instance;
-  peers_[instance] = session->first;
+  dialled_peers_[instance] = session->first;
 }
 
 SessionTable::Iterator SessionTable::find_proxy(ProxyId proxy) {
@@ -45,7 +46,7 @@
   checks_.insert({session->second.check_at, session->first});
 }
 
-SessionTable::Iterator SessionTable::due(Ms now) {
+SessionTable::Iterator SessionTable::find_due(Ms now) {
   if (checks_.empty() || checks_.begin()->first > now) return sessions_.end();
   return sessions_.find(checks_.begin()->second);
 }
@@ -58,7 +59,7 @@
 double SessionTable::unacknowledged_lines() const {
   double lines = 0;
   for (const auto& [stream, session] : sessions_)
-    for (const UnacknowledgedMessage& message : session.acks.messages()) lines += message.lines;
+    for (const UnacknowledgedMessage& message : session.ack_tracker.messages()) lines += message.lines;
   return lines;
 }
 
--- a/src/assigner/update_channel.h
+++ b/src/assigner/update_channel.h
@@ -1,5 +1,5 @@
-// The pace at which update messages leave for proxies: one after the other, each for as long as its lines
-// take at the channel's speed. The channel is one for all proxies. It decides nothing about what is sent.
+// Paces update messages to proxies. All proxies share one channel, which sends one message after the other;
+// each message takes as long as its lines need at the channel's rate.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +12,31 @@
 
 namespace beamshunt::assigner {
 
-struct PacedMessage {
-  Ms leaves_at = 0;
+struct QueuedMessage {
+  Ms send_at = 0;
   StreamId stream{};
   std::shared_ptr<const std::string> bytes;
 };
 
 class UpdateChannel {
  public:
-  // Takes the channel for a message of `lines` at `lines_per_second`, behind all before it. Returns when the
-  // message leaves.
+  // Reserves the channel's next free interval for a message of `lines` at `lines_per_second`, which must be
+  // above 0. Returns the time at which the message is sent.
   Ms reserve(double lines, double lines_per_second, Ms now);
-  // Messages are queued in the order of their reservations.
-  void enqueue(PacedMessage message);
-  // The next message that leaves by `now`. A message whose stream has ended comes too: it took its time in
-  // the channel all the same, as controllers count it.
-  std::optional<PacedMessage> take_due(Ms now);
+  // Queues a message. Messages must be queued in the order of their reservations.
+  void enqueue(QueuedMessage message);
+  // Removes and returns the next message that is due by `now`; returns nullopt if none is due. Messages of
+  // ended streams are returned too: their reserved time stays used, because controllers count it as used.
+  std::optional<QueuedMessage> pop_due(Ms now);
 
   [[nodiscard]] std::optional<Ms> next_due() const;
-  [[nodiscard]] std::size_t queued() const { return queue_.size(); }
-  [[nodiscard]] Ms free_at() const { return free_at_; }  // all that was reserved has left by then
+  [[nodiscard]] std::size_t queued_messages() const { return queue_.size(); }
+  // Returns the time by which all reserved messages are sent; it may lie in the past.
+  [[nodiscard]] Ms idle_at() const { return idle_at_; }
 
  private:
-  std::deque<PacedMessage> queue_;  // by leaves_at
-  Ms free_at_ = 0;
+  std::deque<QueuedMessage> queue_;  // in ascending order of send_at
+  Ms idle_at_ = 0;
 };
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/update_writer.cpp
+++ b/src/assigner/update_writer.cpp
@@ -7,24 +7,26 @@
 
 using base::raw;
 
-// Far more tables than a controller makes; what is left of the number's 32 bits tells controllers apart. The
-// last range stays free, for channel::kAllTables is in it.
+// A table id on the wire has 32 bits. Its lower 16 bits number the tables of a controller, far more than a
+// controller creates; its upper bits distinguish controllers. The last range is not used because it contains
+// channel::kAllTables.
 constexpr std::uint32_t kTablesPerController = 1 << 16;
 constexpr std::uint32_t kControllerRanges = 0xffffffff / kTablesPerController - 1;
 
-class ChannelUpdateVisitor {
+class ProtocolUpdateVisitor {
  public:
-  ChannelUpdateVisitor(std::uint32_t controller, const EndpointCatalog& endpoints)
+  ProtocolUpdateVisitor(std::uint32_t controller, const EndpointCatalog& endpoints)
       : controller_(controller), endpoints_(endpoints) {}
 
-  channel::Update operator()(const assignments::TableAssigned& x) const {
-    return channel::AssignTableUpdate{x.classes, wire_table_id(controller_, x.table)};
+  channel::Update operator()(const assignments::TableAssigned& change) const {
+    return channel::AssignTableUpdate{change.classes, wire_table_id(controller_, change.table)};
   }
-  channel::Update operator()(const assignments::WeightChanged& x) const {
-    channel::WeightUpdate update{
-        .table = wire_table_id(controller_, x.table), .endpoint = raw(x.endpoint), .weight = x.weight};
+  channel::Update operator()(const assignments::WeightChanged& change) const {
+    channel::WeightUpdate update{.table = wire_table_id(controller_, change.table),
+                                 .endpoint = raw(change.endpoint),
+                                 .weight = change.weight};
     const EndpointListEntry* endpoint = endpoints_.find(update.endpoint);
-    if (endpoint && x.weight > 0) {
+    if (endpoint && change.weight > 0) {
       update.locality = static_cast<std::uint16_t>(endpoint->locality);
       update.cell = endpoint->cell;
       update.ip = endpoint->address.ip;
@@ -32,16 +34,16 @@
     }
     return update;
   }
-  channel::Update operator()(const assignments::TableCleared& x) const {
-    return channel::ClearTableUpdate{wire_table_id(controller_, x.table)};
+  channel::Update operator()(const assignments::TableCleared& change) const {
+    return channel::ClearTableUpdate{wire_table_id(controller_, change.table)};
   }
-  channel::Update operator()(const assignments::LimitChanged& x) const {
+  channel::Update operator()(const assignments::LimitChanged& change) const {
     return channel::AdmissionLimitUpdate{
-        x.all_tables ? channel::kAllTables : wire_table_id(controller_, x.table), x.classes, x.limit.limit,
-        static_cast<std::uint8_t>(x.limit.retry_mode)};
+        change.all_tables ? channel::kAllTables : wire_table_id(controller_, change.table), change.classes,
+        change.limit.limit, static_cast<std::uint8_t>(change.limit.retry_mode)};
   }
-  channel::Update operator()(const assignments::EndpointExcluded& x) const {
-    return channel::ExcludeEndpointUpdate{raw(x.endpoint), x.excluded};
+  channel::Update operator()(const assignments::EndpointExcluded& change) const {
+    return channel::ExcludeEndpointUpdate{raw(change.endpoint), change.excluded};
   }
 
  private:
@@ -55,16 +57,16 @@
   return controller % kControllerRanges * kTablesPerController + raw(table);
 }
 
-channel::Update to_channel_update(std::uint32_t controller, const assignments::Update& update,
-                                  const EndpointCatalog& endpoints) {
-  return std::visit(ChannelUpdateVisitor(controller, endpoints), update);
+channel::Update to_protocol_update(std::uint32_t controller, const assignments::Update& update,
+                                   const EndpointCatalog& endpoints) {
+  return std::visit(ProtocolUpdateVisitor(controller, endpoints), update);
 }
 
 void UpdateWriter::request_acks(std::uint32_t sequence_number, bool all_proxies,
                                 const SessionTable& sessions) {
   if (all_proxies)
-    for (const auto& [proxy, stream] : sessions.proxies()) messages_.try_emplace(proxy);
-  for (auto& [proxy, updates] : messages_) updates.emplace_back(channel::AckRequestUpdate{sequence_number});
+    for (const auto& [proxy, stream] : sessions.proxies()) updates_.try_emplace(proxy);
+  for (auto& [proxy, updates] : updates_) updates.emplace_back(channel::AckRequestUpdate{sequence_number});
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/update_writer.h
+++ b/src/assigner/update_writer.h
@@ -1,5 +1,5 @@
-// From a controller's updates to the native protocol's: gathers what one batch of decisions says to each
-// proxy, so that it becomes one message. It keeps no tables and sends nothing.
+// Converts a controller's updates to those of the native protocol and collects them by proxy, so that each
+// proxy gets the decisions of one batch in a single message. It keeps no tables and sends nothing.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,30 @@
 
 namespace beamshunt::assigner {
 
-// A table's number on the wire. Each controller's tables have a range of numbers of their own, so that a new
-// controller's tables never meet its predecessor's at a proxy.
+// Returns a table's id on the wire. Each controller has its own range of ids, so that a proxy never confuses
+// a new controller's tables with those of the controller before it.
 std::uint32_t wire_table_id(std::uint32_t controller, TableId table);
 
-// The update as the protocol has it. A weight above 0 carries the endpoint's address from the list.
-channel::Update to_channel_update(std::uint32_t controller, const assignments::Update& update,
-                                  const EndpointCatalog& endpoints);
+// Converts an update of this controller to the native protocol. An update that sets a weight above 0 gets the
+// locality, cell and address of its endpoint from `endpoints`.
+channel::Update to_protocol_update(std::uint32_t controller, const assignments::Update& update,
+                                   const EndpointCatalog& endpoints);
 
 class UpdateWriter {
  public:
-  using Messages = std::map<ProxyId, std::vector<channel::Update>>;
+  using UpdatesByProxy = std::map<ProxyId, std::vector<channel::Update>>;
 
-  void write(ProxyId proxy, const channel::Update& update) { messages_[proxy].push_back(update); }
-  // To the proxies that are written to anyway, and, with `all_proxies`, to each registered one.
+  void add(ProxyId proxy, const channel::Update& update) { updates_[proxy].push_back(update); }
+  // Adds an acknowledgement request for each proxy that has pending updates and, if `all_proxies` is set, for
+  // each registered proxy.
   void request_acks(std::uint32_t sequence_number, bool all_proxies, const SessionTable& sessions);
-  void discard(ProxyId proxy) { messages_.erase(proxy); }
-  // What was written since the last call, by proxy.
-  Messages take() { return std::exchange(messages_, {}); }
+  // Drops the pending updates of a proxy.
+  void discard(ProxyId proxy) { updates_.erase(proxy); }
+  // Returns all pending updates and clears them.
+  UpdatesByProxy take_updates() { return std::exchange(updates_, {}); }
 
  private:
-  Messages messages_;
+  UpdatesByProxy updates_;
 };
 
 }  // namespace beamshunt::assigner
--- a/tests/assigner/core_harness.h
+++ b/tests/assigner/core_harness.h
@@ -1,4 +1,5 @@
-// A core in simulated time, with proxies that speak frames: no sockets, no clocks, the same every time.
+// A test harness that runs a core in simulated time and exchanges frames with it in place of proxies and
+// peers. It uses no sockets and no clocks, so that every run is the same.
 #pragma once
 
 #include <fmt/format.h>
@@ -33,6 +34,8 @@
 }
 )";
 
+// Returns a discovery message of `kind` "total" or "changes" that contains the endpoints `ids` in `state`.
+// Endpoints with even ids are in "north", those with odd ids in "south".
 inline std::string endpoint_list_json(const std::string& kind, std::uint64_t version,
                                       std::vector<std::uint32_t> ids,
                                       const std::string& state = "in_service") {
@@ -52,7 +55,7 @@
   std::map<StreamId, std::vector<channel::Frame>> received_frames;
   std::map<StreamId, channel::FrameParser> parsers;
   std::vector<StreamId> closed_streams;
-  std::vector<Effect> other_effects;
+  std::vector<Effect> other_effects;  // effects that no other member records
   std::vector<WriteLogEvent> log_events;
   std::string flight_record_bytes;
   std::uint64_t next_stream = 1;
@@ -60,24 +63,26 @@
   explicit CoreHarness(std::optional<EndpointCatalog> cached = std::nullopt, std::uint64_t epoch = 1)
       : core(settings, epoch, std::move(cached), now, 5e11 + now) {}
 
+  // Runs the core at the present time and records its effects.
   void run_once() {
     core.run_once(now);
-    for (Effect& e : core.take_effects()) {
-      if (auto* send = std::get_if<SendBytes>(&e))
+    for (Effect& effect : core.take_effects()) {
+      if (auto* send = std::get_if<SendBytes>(&effect))
         parsers[send->stream].feed(*send->bytes, received_frames[send->stream]);
-      else if (auto* close = std::get_if<CloseStream>(&e)) closed_streams.push_back(close->stream);
-      else if (auto* event = std::get_if<WriteLogEvent>(&e)) log_events.push_back(*event);
-      else if (auto* append = std::get_if<AppendFlightRecord>(&e)) flight_record_bytes += append->bytes;
-      else other_effects.push_back(std::move(e));
+      else if (auto* close = std::get_if<CloseStream>(&effect)) closed_streams.push_back(close->stream);
+      else if (auto* event = std::get_if<WriteLogEvent>(&effect)) log_events.push_back(*event);
+      else if (auto* append = std::get_if<AppendFlightRecord>(&effect)) flight_record_bytes += append->bytes;
+      else other_effects.push_back(std::move(effect));
     }
   }
-  // Lets time pass as the core asks for it.
+  // Advances time, and runs the core whenever it is due and at the end.
   void advance(Ms time) {
     for (Ms end = now + time; now < end;) {
       now = std::min(end, std::max(now + 0.5, core.next_due()));
       run_once();
     }
   }
+  // Opens a stream from the address and port `from`.
   StreamId open_stream(const std::string& from) {
     StreamId id{next_stream++};
     core.stream_opened(id, *net::parse_address(from), now);
@@ -85,10 +90,11 @@
     return id;
   }
   void send_frame(StreamId id, const channel::Frame& frame) { send_bytes(id, channel::encode(frame)); }
-  void send_bytes(StreamId id, std::string_view text) {
-    core.stream_bytes_received(id, text, now);
+  void send_bytes(StreamId id, std::string_view bytes) {
+    core.stream_bytes_received(id, bytes, now);
     run_once();
   }
+  // Opens a stream and sends the Hello of a proxy in "north", or in "south" if `south` is set.
   StreamId register_proxy(std::uint32_t proxy, std::uint64_t incarnation = 1, std::uint32_t attempt = 1,
                           bool south = false) {
     StreamId id = open_stream(fmt::format("127.{}.1.{}:40000", south ? 20 : 10, proxy + 1));
@@ -100,53 +106,58 @@
                                   .only_static_tables = true});
     return id;
   }
-  void deliver_endpoint_list(const std::string& line) {
-    core.endpoint_list_received(line, now, 5e11 + now);
+  void deliver_endpoint_list(const std::string& json) {
+    core.endpoint_list_received(json, now, 5e11 + now);
     run_once();
   }
+  // Returns the frames of type T that the core sent on the stream, in order.
   template <typename T>
   std::vector<T> received(StreamId id) {
-    std::vector<T> out;
-    for (auto& f : received_frames[id])
-      if (auto* frame = std::get_if<T>(&f)) out.push_back(*frame);
-    return out;
+    std::vector<T> frames;
+    for (auto& candidate : received_frames[id])
+      if (auto* frame = std::get_if<T>(&candidate)) frames.push_back(*frame);
+    return frames;
   }
   bool is_closed(StreamId id) const {
     return std::count(closed_streams.begin(), closed_streams.end(), id) > 0;
   }
+  // Returns the reason of the last Refuse frame on the stream, or an empty string.
   std::string refusal_reason(StreamId id) {
-    auto all = received<channel::Refuse>(id);
-    return all.empty() ? "" : all.back().reason;
+    auto refusals = received<channel::Refuse>(id);
+    return refusals.empty() ? "" : refusals.back().reason;
   }
+  // Returns whether an event with this name was logged, with `part` contained in one of its fields.
   bool has_logged(const std::string& event, const std::string& part = "") const {
-    for (const WriteLogEvent& l : log_events) {
-      if (l.event != event) continue;
+    for (const WriteLogEvent& log_event : log_events) {
+      if (log_event.event != event) continue;
       if (part.empty()) return true;
-      for (auto& [name, value] : l.fields)
+      for (auto& [name, value] : log_event.fields)
         if (value.find(part) != std::string::npos) return true;
     }
     return false;
   }
-  // What a proxy holds by the orders that came: lines by class.
+  // Returns the weights by table and endpoint that a proxy has after applying all received updates.
   std::map<std::uint32_t, std::map<std::uint32_t, double>> weight_tables(StreamId id) {
-    std::map<std::uint32_t, std::map<std::uint32_t, double>> out;
+    std::map<std::uint32_t, std::map<std::uint32_t, double>> tables;
     for (auto& message : received<channel::UpdateMessage>(id))
-      for (auto& order : message.updates) {
-        if (auto* line = std::get_if<channel::WeightUpdate>(&order)) {
-          if (line->weight > 0) out[line->table][line->endpoint] = line->weight;
-          else out[line->table].erase(line->endpoint);
+      for (auto& update : message.updates) {
+        if (auto* weight = std::get_if<channel::WeightUpdate>(&update)) {
+          if (weight->weight > 0) tables[weight->table][weight->endpoint] = weight->weight;
+          else tables[weight->table].erase(weight->endpoint);
         }
-        if (auto* bind = std::get_if<channel::AssignTableUpdate>(&order)) out[bind->table].clear();
+        if (auto* assignment = std::get_if<channel::AssignTableUpdate>(&update))
+          tables[assignment->table].clear();
       }
-    return out;
+    return tables;
   }
-  // Keeps a proxy's stream alive and its orders confirmed for a time.
+  // Advances time while the proxies on `streams` respond: every 50 ms, each acknowledges its updates or sends
+  // a ping.
   void advance_responsive(std::vector<StreamId> streams, Ms time) {
     for (Ms end = now + time; now < end; advance(50))
       for (StreamId id : streams) {
         if (is_closed(id)) continue;
-        auto orders = received<channel::UpdateMessage>(id);
-        if (!orders.empty()) send_frame(id, channel::Acknowledgement{orders.back().sequence});
+        auto messages = received<channel::UpdateMessage>(id);
+        if (!messages.empty()) send_frame(id, channel::Acknowledgement{messages.back().sequence});
         else send_frame(id, channel::Ping{1});
       }
   }
