--- a/src/assigner/core_metrics.cpp
+++ b/src/assigner/core_metrics.cpp
@@ -13,8 +13,8 @@
 // Time constant of the exponential decay of attempt rates, in ms: long compared with a report period, short
 // compared with the changes that operators watch for.
 constexpr Ms kRateDecayTime = 1000;
-// Endpoints at or below this utilization are left out of the estimate of warm endpoints' attempt rate,
-// because their figures are too imprecise.
+// Endpoints at or below this utilization are left out of the estimate of warm endpoints' attempt rates,
+// because an endpoint's rate at low utilization says too little about its speed.
 constexpr double kMinUtilization = 0.05;
 constexpr double kNoRateLimit = 1e6;  // requests per second exported for a class without a limit
 constexpr double kNoShareLimit = 1;   // share of requests exported for a class without a limit
--- a/src/assigner/session_protocol.cpp
+++ b/src/assigner/session_protocol.cpp
@@ -49,7 +49,7 @@
   if (stopping_) return refuse(session, RefuseCode::stopping, kStoppingReason, 0, now);
   if (sessions_.size() > settings_.most_streams)
     return refuse(session, RefuseCode::full,
-                  fmt::format("the limit of {} open streams is reached", settings_.most_streams),
+                  fmt::format("{} streams are open, no more are taken", settings_.most_streams),
                   kRetryWhenFull, now);
   if (!settings_.admits_all && !settings_.admitted.find(peer.ip))
     return refuse(session, RefuseCode::bad_locality, "the peer's address is not admitted", 0, now);
@@ -185,7 +185,7 @@
   // If the same run of the proxy dials again, the former stream is half open and is replaced. Another run
   // with this id is a restarted proxy if the former stream is silent. Otherwise it is a second proxy
   // configured with the same id and is refused: if it replaced the first one, the two would replace each
-  // other for ever.
+  // other forever.
   bool same_run = former_session.incarnation == hello.incarnation && hello.attempt > former_session.attempt;
   Ms silence_limit = kHeartbeatsUntilDead * settings_.heartbeat;
   if (!same_run && now - former_session.last_received_at <= silence_limit) {
@@ -206,8 +206,7 @@
   });
   if (!known)
     return refuse(session, RefuseCode::unexpected,
-                  fmt::format("instance {} is not a configured peer, or is configured with another address",
-                              hello.instance),
+                  fmt::format("instance {} is no peer of these settings, or not from there", hello.instance),
                   0, now);
   peer_session.parser.allow(settings_.most_frame);
   peer_session.state = SessionState::peer;
@@ -221,7 +220,7 @@
   Session& proxy_session = session->second;
   if (acknowledgement.sequence > proxy_session.update_sequence)
     return refuse(session, RefuseCode::unexpected,
-                  fmt::format("message {} is acknowledged, but only {} were sent", acknowledgement.sequence,
+                  fmt::format("message {} is confirmed, {} were sent", acknowledgement.sequence,
                               proxy_session.update_sequence),
                   0, now);
   listener_.messages_acknowledged(ProxyId{proxy_session.id},
@@ -252,7 +251,7 @@
         break;
       case SessionCheck::unresponsive:
         refuse(session, RefuseCode::silent,
-               fmt::format("no byte received for {} ms", now - due_session.last_received_at), 0, now);
+               fmt::format("no byte for {} ms", now - due_session.last_received_at), 0, now);
         break;
       case SessionCheck::ack_overdue:
         refuse(session, RefuseCode::silent,
--- a/tests/assigner/channel_parts_test.cpp
+++ b/tests/assigner/channel_parts_test.cpp
@@ -94,7 +94,7 @@
 }
 
 // A proxy answers pings but applies no updates. Its unacknowledged messages would occupy the channel's queue
-// for ever and block the updates of all other proxies: the oldest message is overdue even though the proxy
+// forever and block the updates of all other proxies: the oldest message is overdue even though the proxy
 // responds.
 TEST(Session, UnacknowledgedMessageIsOverdueWhileTheProxyResponds) {
   const SessionTimeouts timeouts{.handshake = 500, .heartbeat = 200, .ack = 1000};
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -109,7 +109,7 @@
 }
 
 // A proxy's machine loses power, so its stream is never closed. Without a timeout, the stream would stay open
-// and the proxy registered for ever: pings are sent, and the stream is ended after three heartbeats without a
+// and the proxy registered forever: pings are sent, and the stream is ended after three heartbeats without a
 // byte.
 TEST(Core, HalfOpenStreamIsClosedAfterThreeSilentHeartbeats) {
   CoreHarness harness;
@@ -124,7 +124,7 @@
 }
 
 // A proxy sends pings but applies no updates. Its unacknowledged messages would occupy the channel's queue
-// for ever and block other proxies' updates: its stream is ended once the oldest acknowledgement is overdue.
+// forever and block other proxies' updates: its stream is ended once the oldest acknowledgement is overdue.
 TEST(Core, ProxyIsRefusedWhenItRespondsButAppliesNoUpdates) {
   CoreHarness harness;
   harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2}));
@@ -175,7 +175,7 @@
 }
 
 // A second proxy is started with an id that is in use. If it replaced the first one, the first would dial
-// again and replace the second, and so on for ever. The second proxy is refused while the first one responds.
+// again and replace the second, and so on forever. The second proxy is refused while the first one responds.
 TEST(Core, SecondProxyWithTheSameIdIsRefusedWhileTheFirstResponds) {
   CoreHarness harness;
   harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2}));
