--- a/src/assigner/action_executor.cpp
+++ b/src/assigner/action_executor.cpp
@@ -7,7 +7,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 class ActionVisitor {
  public:
@@ -27,12 +27,12 @@
     running_.timers.emplace(action.deadline.time_since_epoch().count(), action.token);
   }
   void operator()(const SendHealthCheck& action) {
-    if (const EndpointListEntry* entry = targets_.endpoints.find(raw(action.endpoint)))
+    if (const EndpointListEntry* entry = targets_.endpoints.find(to_underlying(action.endpoint)))
       targets_.effects.emplace_back(SendHealthCheckRequest{action.endpoint, entry->address});
   }
   void operator()(const SendPeerMessage& action) {
     // Peers would refuse the stream if they received a longer note.
-    if (action.payload.size() > channel::kMaxPeerNoteBytes) return;
+    if (action.payload.size() > native_protocol::kMaxPeerNoteBytes) return;
     targets_.protocol.send_peer_note(action.peer, action.to_all_peers,
                                      std::string(action.payload.begin(), action.payload.end()), now_);
   }
--- a/src/assigner/core.cpp
+++ b/src/assigner/core.cpp
@@ -11,7 +11,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 // A handover may start only if each proxy has received less than this share of the messages permitted within
 // the message window. The handover itself needs one message for each proxy, and drains need further ones
@@ -24,7 +24,7 @@
   auto encoded = [](const Settings& settings) {
     base::Encoder encoder;
     encoder(settings);
-    return encoder.take();
+    return encoder.release();
   };
   return encoded(a) == encoded(b);
 }
@@ -76,7 +76,7 @@
 
 // ---- Sessions ----
 
-void Core::proxy_registered(const Session& session, Locality locality, const channel::Hello& hello) {
+void Core::proxy_registered(const Session& session, Locality locality, const native_protocol::Hello& hello) {
   ProxyId proxy{session.id};
   handover_.register_proxy(proxy);
   handover_.newest().pending.emplace_back(
@@ -101,21 +101,22 @@
   }
 }
 
-void Core::load_report_received(const Session& session, const channel::LoadReportMessage& report, Ms now) {
+void Core::load_report_received(const Session& session, const native_protocol::LoadReportMessage& report,
+                                Ms now) {
   ++counters_.reports;
   counters_.report_entries += report.endpoints.size() + report.demand.size();
   Locality proxy_locality = locality_of(session);
   Ms begin = now - report.interval_ms;
-  for (const channel::EndpointReportEntry& entry : report.endpoints) {
+  for (const native_protocol::EndpointReportEntry& entry : report.endpoints) {
     if (endpoints_.find(entry.endpoint)) reports_.add_endpoint_report(proxy_locality, entry, begin, now);
     else ++counters_.unknown_endpoints;
   }
   metrics_.add_load_report(proxy_locality, report, endpoints_, now);
-  for (const channel::DemandReportEntry& entry : report.demand)
+  for (const native_protocol::DemandReportEntry& entry : report.demand)
     reports_.add_demand_report(ProxyId(session.id), entry, begin, now);
 }
 
-void Core::peer_note_received(std::uint32_t instance, const channel::PeerNote& note) {
+void Core::peer_note_received(std::uint32_t instance, const native_protocol::PeerNote& note) {
   handover_.deliver(PeerMessage{instance, {note.payload.begin(), note.payload.end()}});
 }
 
@@ -265,21 +266,21 @@
   for (auto& [proxy, updates] : writer_.take_updates()) {
     auto session = protocol_.sessions().find_proxy(proxy);
     if (session == protocol_.sessions().end()) continue;
-    if (interceptor_) interceptor_(now, raw(proxy), updates, endpoints_);
+    if (interceptor_) interceptor_(now, to_underlying(proxy), updates, endpoints_);
     if (!updates.empty()) enqueue_message(controller, session, std::move(updates), now);
   }
 }
 
 // Adds one message to the update channel, which paces the messages of all proxies.
 void Core::enqueue_message(std::uint32_t controller, SessionTable::Iterator session,
-                           std::vector<channel::Update> updates, Ms now) {
+                           std::vector<native_protocol::Update> updates, Ms now) {
   Session& recipient = session->second;
-  channel::UpdateMessage message{.sequence = ++recipient.update_sequence, .decided_at_ms = now};
+  native_protocol::UpdateMessage message{.sequence = ++recipient.update_sequence, .decided_at_ms = now};
   message.lines = settings_.policy.message_overhead_lines + static_cast<double>(updates.size());
   UnacknowledgedMessage unacknowledged{
       .sequence = message.sequence, .decided_at = now, .lines = message.lines, .controller = controller};
-  for (const channel::Update& update : updates) {
-    if (const auto* request = std::get_if<channel::AckRequestUpdate>(&update))
+  for (const native_protocol::Update& update : updates) {
+    if (const auto* request = std::get_if<native_protocol::AckRequestUpdate>(&update))
       unacknowledged.ack_requests.push_back(request->sequence_number);
     unacknowledged.removes_unavailable_endpoint |= metrics_.removes_unavailable_endpoint(update);
   }
@@ -291,7 +292,8 @@
   recipient.message_history.add(now, settings_.policy.message_window.count());
   handover_.count_message(controller, ProxyId{recipient.id});
   protocol_.message_enqueued(session, std::move(unacknowledged));
-  channel_.enqueue({send_at, session->first, std::make_shared<const std::string>(channel::encode(message))});
+  channel_.enqueue(
+      {send_at, session->first, std::make_shared<const std::string>(native_protocol::encode(message))});
 }
 
 void Core::send_due_messages(Ms now) {
--- a/src/assigner/core.h
+++ b/src/assigner/core.h
@@ -29,8 +29,9 @@
 
 // Modifies the updates of a message before they are encoded. Audits inject violations with it to show that
 // they detect them; it must not be set in production.
-using MessageInterceptor = std::function<void(
-    Ms now, std::uint32_t proxy, std::vector<channel::Update>& updates, const EndpointCatalog& endpoints)>;
+using MessageInterceptor =
+    std::function<void(Ms now, std::uint32_t proxy, std::vector<native_protocol::Update>& updates,
+                       const EndpointCatalog& endpoints)>;
 
 // All times are in ms on one monotonic clock and must never decrease. `wall_now` is in ms since 1970.
 class Core final : private SessionListener {
@@ -104,13 +105,14 @@
 
  private:
   // ---- SessionListener ----
-  void proxy_registered(const Session& session, Locality locality, const channel::Hello& hello) override;
+  void proxy_registered(const Session& session, Locality locality,
+                        const native_protocol::Hello& hello) override;
   void proxy_disconnected(ProxyId proxy) override;
   void messages_acknowledged(ProxyId proxy, const std::vector<UnacknowledgedMessage>& messages,
                              Ms now) override;
-  void load_report_received(const Session& session, const channel::LoadReportMessage& report,
+  void load_report_received(const Session& session, const native_protocol::LoadReportMessage& report,
                             Ms now) override;
-  void peer_note_received(std::uint32_t instance, const channel::PeerNote& note) override;
+  void peer_note_received(std::uint32_t instance, const native_protocol::PeerNote& note) override;
 
   [[nodiscard]] CoreView view() const;
   [[nodiscard]] Locality locality_of(const Session& session) const;
@@ -120,7 +122,7 @@
   void retire_replaced_controllers();
   void enqueue_messages(std::uint32_t controller, Ms now);
   void enqueue_message(std::uint32_t controller, SessionTable::Iterator session,
-                       std::vector<channel::Update> updates, Ms now);
+                       std::vector<native_protocol::Update> updates, Ms now);
   void send_due_messages(Ms now);
   [[nodiscard]] bool flight_record_enabled() const { return !settings_.record_file.empty(); }
   void append_flight_record(std::string bytes);
--- a/src/assigner/core_metrics.cpp
+++ b/src/assigner/core_metrics.cpp
@@ -8,7 +8,7 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 // Time constant of the exponential decay of attempt rates, in ms: long compared with a report period, short
 // compared with the changes that operators watch for.
@@ -30,15 +30,15 @@
 
 }  // namespace
 
-void CoreMetrics::add_load_report(Locality proxy_locality, const channel::LoadReportMessage& report,
+void CoreMetrics::add_load_report(Locality proxy_locality, const native_protocol::LoadReportMessage& report,
                                   const EndpointCatalog& endpoints, Ms now) {
-  for (const channel::DemandReportEntry& entry : report.demand) {
-    ServiceTotals& totals = service_totals_[{raw(proxy_locality), entry.request_class}];
+  for (const native_protocol::DemandReportEntry& entry : report.demand) {
+    ServiceTotals& totals = service_totals_[{to_underlying(proxy_locality), entry.request_class}];
     totals.arrivals += entry.arrivals;
     totals.failed += entry.failed;
     totals.within_objective += entry.within_objective;
   }
-  for (const channel::EndpointReportEntry& entry : report.endpoints) {
+  for (const native_protocol::EndpointReportEntry& entry : report.endpoints) {
     if (!endpoints.find(entry.endpoint)) continue;
     // The decay makes the rate independent of the number of proxies and of their report periods.
     EndpointActivity& activity = activity_[entry.endpoint];
@@ -68,13 +68,13 @@
     limits = &table->second.limits;
   }
   for (const auto& [request_class, limit] : *limits) {
-    bool affected = action.classes == 0 || ((action.classes >> raw(request_class)) & 1) != 0;
-    if (affected && action.limit < limit.limit) ++limit_reductions_[raw(request_class)];
+    bool affected = action.classes == 0 || ((action.classes >> to_underlying(request_class)) & 1) != 0;
+    if (affected && action.limit < limit.limit) ++limit_reductions_[to_underlying(request_class)];
   }
 }
 
-bool CoreMetrics::removes_unavailable_endpoint(const channel::Update& update) const {
-  const auto* weight = std::get_if<channel::WeightUpdate>(&update);
+bool CoreMetrics::removes_unavailable_endpoint(const native_protocol::Update& update) const {
+  const auto* weight = std::get_if<native_protocol::WeightUpdate>(&update);
   return weight && weight->weight <= 0 && unavailable_since_.contains(weight->endpoint);
 }
 
--- a/src/assigner/core_metrics.h
+++ b/src/assigner/core_metrics.h
@@ -22,7 +22,7 @@
 class CoreMetrics {
  public:
   // ---- Recording ----
-  void add_load_report(Locality proxy_locality, const channel::LoadReportMessage& report,
+  void add_load_report(Locality proxy_locality, const native_protocol::LoadReportMessage& report,
                        const EndpointCatalog& endpoints, Ms now);
   void endpoint_changed(std::uint32_t endpoint, bool available, Ms now);
   void proxy_removed(ProxyId proxy) { without_endpoints_since_.erase(proxy); }
@@ -33,7 +33,7 @@
 
   // ---- Queries ----
   // Returns whether the update removes the weight of an endpoint that is draining or removed.
-  [[nodiscard]] bool removes_unavailable_endpoint(const channel::Update& update) const;
+  [[nodiscard]] bool removes_unavailable_endpoint(const native_protocol::Update& update) const;
   // Returns the endpoint's activity, or null if no report named the endpoint. The pointer stays valid while
   // this object exists.
   [[nodiscard]] const EndpointActivity* activity(std::uint32_t endpoint) const;
--- a/src/assigner/report_intake.cpp
+++ b/src/assigner/report_intake.cpp
@@ -13,8 +13,8 @@
   return found->second;
 }
 
-void ReportIntake::add_endpoint_report(Locality proxy_locality, const channel::EndpointReportEntry& entry,
-                                       Ms begin, Ms end) {
+void ReportIntake::add_endpoint_report(Locality proxy_locality,
+                                       const native_protocol::EndpointReportEntry& entry, Ms begin, Ms end) {
   Aggregate& aggregate = find_or_add(EndpointKey{proxy_locality, EndpointId(entry.endpoint)}, begin, end);
   double successful = entry.attempts - entry.failed;
   double successful_before = aggregate.total - aggregate.failed;
@@ -27,7 +27,7 @@
   if (!entry.load.empty()) aggregate.load = LoadReport(entry.load.begin(), entry.load.end());
 }
 
-void ReportIntake::add_demand_report(ProxyId proxy, const channel::DemandReportEntry& entry, Ms begin,
+void ReportIntake::add_demand_report(ProxyId proxy, const native_protocol::DemandReportEntry& entry, Ms begin,
                                      Ms end) {
   Aggregate& aggregate = find_or_add(DemandKey{proxy, ClassId(entry.request_class)}, begin, end);
   aggregate.total += entry.arrivals;
--- a/src/assigner/report_intake.h
+++ b/src/assigner/report_intake.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 #include "policy/controller.h"
 
 namespace beamshunt::assigner {
@@ -26,10 +26,10 @@
 
   void set_rate(double entries_per_second) { entries_per_second_ = entries_per_second; }
   // Adds the attempts that proxies of `proxy_locality` made at an endpoint within [begin, end].
-  void add_endpoint_report(Locality proxy_locality, const channel::EndpointReportEntry& entry, Ms begin,
-                           Ms end);
+  void add_endpoint_report(Locality proxy_locality, const native_protocol::EndpointReportEntry& entry,
+                           Ms begin, Ms end);
   // Adds the requests of one class that arrived at `proxy` within [begin, end].
-  void add_demand_report(ProxyId proxy, const channel::DemandReportEntry& entry, Ms begin, Ms end);
+  void add_demand_report(ProxyId proxy, const native_protocol::DemandReportEntry& entry, Ms begin, Ms end);
   // Discards the pending demand reports of a disconnected proxy.
   void remove_proxy(ProxyId proxy);
   // Removes and returns the oldest aggregates as EndpointReport and DemandReport events, as many as the rate
--- a/src/assigner/session.h
+++ b/src/assigner/session.h
@@ -8,7 +8,7 @@
 #include "assigner/ack_tracker.h"
 #include "assigner/message_history.h"
 #include "base/time.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 #include "net/address.h"
 
 namespace beamshunt::assigner {
@@ -31,7 +31,7 @@
 enum class SessionCheck : std::uint8_t {
   none,
   handshake_timed_out,
-  unresponsive,  // no byte received for kHeartbeatsUntilDead heartbeats
+  unresponsive,  // no byte received for kHeartbeatTimeoutPeriods heartbeats
   ack_overdue,   // the proxy responds but does not apply updates
   ping_due,
 };
@@ -39,7 +39,7 @@
 struct Session {
   SessionState state = SessionState::handshake_pending;
   net::Address address{};  // remote address
-  channel::FrameParser parser;
+  native_protocol::FrameParser parser;
   Ms opened_at = 0;
   Ms last_received_at = 0;
   Ms last_sent_at = 0;
--- a/src/assigner/session_protocol.h
+++ b/src/assigner/session_protocol.h
@@ -13,7 +13,7 @@
 #include "assigner/counters.h"
 #include "assigner/effects.h"
 #include "assigner/session_table.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 namespace beamshunt::assigner {
 
@@ -21,14 +21,15 @@
 // close or write to a session.
 class SessionListener {
  public:
-  virtual void proxy_registered(const Session& session, Locality locality, const channel::Hello& hello) = 0;
+  virtual void proxy_registered(const Session& session, Locality locality,
+                                const native_protocol::Hello& hello) = 0;
   virtual void proxy_disconnected(ProxyId proxy) = 0;
   virtual void messages_acknowledged(ProxyId proxy, const std::vector<UnacknowledgedMessage>& messages,
                                      Ms now) = 0;
   // All classes in the report exist in the settings.
-  virtual void load_report_received(const Session& session, const channel::LoadReportMessage& report,
+  virtual void load_report_received(const Session& session, const native_protocol::LoadReportMessage& report,
                                     Ms now) = 0;
-  virtual void peer_note_received(std::uint32_t instance, const channel::PeerNote& note) = 0;
+  virtual void peer_note_received(std::uint32_t instance, const native_protocol::PeerNote& note) = 0;
 
  protected:
   ~SessionListener() = default;
@@ -74,23 +75,25 @@
   using Iterator = SessionTable::Iterator;
 
   [[nodiscard]] SessionTimeouts timeouts() const;
-  void handle_frame(Iterator session, const channel::Frame& frame, Ms now);
+  void handle_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
   // Each of the following four methods handles a frame if it is permitted in the session's state. Returns
   // whether it was handled.
-  bool handle_heartbeat_frame(Iterator session, const channel::Frame& frame, Ms now);
-  bool handle_handshake_frame(Iterator session, const channel::Frame& frame, Ms now);
-  bool handle_proxy_frame(Iterator session, const channel::Frame& frame, Ms now);
-  bool handle_peer_frame(const Session& session, const channel::Frame& frame);
-  void register_proxy(Iterator session, const channel::Hello& hello, Ms now);
+  bool handle_heartbeat_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
+  bool handle_handshake_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
+  bool handle_proxy_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
+  bool handle_peer_frame(const Session& session, const native_protocol::Frame& frame);
+  void register_proxy(Iterator session, const native_protocol::Hello& hello, Ms now);
   // If another session has the same proxy id, refuses one of the two. Returns whether the new session may be
   // registered.
-  bool replace_former_session(Iterator session, const channel::Hello& hello, Ms now);
-  void register_peer(Iterator session, const channel::PeerHello& hello, Ms now);
-  void handle_acknowledgement(Iterator session, const channel::Acknowledgement& acknowledgement, Ms now);
-  void handle_load_report(Iterator session, const channel::LoadReportMessage& report, Ms now);
-  void send_frame(Iterator session, const channel::Frame& frame, Ms now);
+  bool replace_former_session(Iterator session, const native_protocol::Hello& hello, Ms now);
+  void register_peer(Iterator session, const native_protocol::PeerHello& hello, Ms now);
+  void handle_acknowledgement(Iterator session, const native_protocol::Acknowledgement& acknowledgement,
+                              Ms now);
+  void handle_load_report(Iterator session, const native_protocol::LoadReportMessage& report, Ms now);
+  void send_frame(Iterator session, const native_protocol::Frame& frame, Ms now);
   void send_welcome(Iterator session, Ms now);
-  void refuse(Iterator session, channel::RefuseCode code, const std::string& reason, Ms retry_after, Ms now);
+  void refuse(Iterator session, native_protocol::RefuseCode code, const std::string& reason, Ms retry_after,
+              Ms now);
   // Removes the session; a proxy or peer is unregistered.
   void end_session(Iterator session, const std::string& reason, Ms now);
   void log(log::Level level, std::string event, log::Fields fields);
--- a/src/assigner/update_writer.cpp
+++ b/src/assigner/update_writer.cpp
@@ -5,11 +5,11 @@
 namespace beamshunt::assigner {
 namespace {
 
-using base::raw;
+using base::to_underlying;
 
 // A table id on the wire has 32 bits. Its lower 16 bits number the tables of a controller, far more than a
 // controller creates; its upper bits distinguish controllers. The last range is not used because it contains
-// channel::kAllTables.
+// native_protocol::kAllTables.
 constexpr std::uint32_t kTablesPerController = 1 << 16;
 constexpr std::uint32_t kControllerRanges = 0xffffffff / kTablesPerController - 1;
 
@@ -18,13 +18,13 @@
   ProtocolUpdateVisitor(std::uint32_t controller, const EndpointCatalog& endpoints)
       : controller_(controller), endpoints_(endpoints) {}
 
-  channel::Update operator()(const assignments::TableAssigned& change) const {
-    return channel::AssignTableUpdate{change.classes, wire_table_id(controller_, change.table)};
+  native_protocol::Update operator()(const assignments::TableAssigned& change) const {
+    return native_protocol::AssignTableUpdate{change.classes, wire_table_id(controller_, change.table)};
   }
-  channel::Update operator()(const assignments::WeightChanged& change) const {
-    channel::WeightUpdate update{.table = wire_table_id(controller_, change.table),
-                                 .endpoint = raw(change.endpoint),
-                                 .weight = change.weight};
+  native_protocol::Update operator()(const assignments::WeightChanged& change) const {
+    native_protocol::WeightUpdate update{.table = wire_table_id(controller_, change.table),
+                                         .endpoint = to_underlying(change.endpoint),
+                                         .weight = change.weight};
     const EndpointListEntry* endpoint = endpoints_.find(update.endpoint);
     if (endpoint && change.weight > 0) {
       update.locality = static_cast<std::uint16_t>(endpoint->locality);
@@ -34,16 +34,16 @@
     }
     return update;
   }
-  channel::Update operator()(const assignments::TableCleared& change) const {
-    return channel::ClearTableUpdate{wire_table_id(controller_, change.table)};
+  native_protocol::Update operator()(const assignments::TableCleared& change) const {
+    return native_protocol::ClearTableUpdate{wire_table_id(controller_, change.table)};
   }
-  channel::Update operator()(const assignments::LimitChanged& change) const {
-    return channel::AdmissionLimitUpdate{
-        change.all_tables ? channel::kAllTables : wire_table_id(controller_, change.table), change.classes,
-        change.limit.limit, static_cast<std::uint8_t>(change.limit.retry_mode)};
+  native_protocol::Update operator()(const assignments::LimitChanged& change) const {
+    return native_protocol::AdmissionLimitUpdate{
+        change.all_tables ? native_protocol::kAllTables : wire_table_id(controller_, change.table),
+        change.classes, change.limit.limit, static_cast<std::uint8_t>(change.limit.retry_mode)};
   }
-  channel::Update operator()(const assignments::EndpointExcluded& change) const {
-    return channel::ExcludeEndpointUpdate{raw(change.endpoint), change.excluded};
+  native_protocol::Update operator()(const assignments::EndpointExcluded& change) const {
+    return native_protocol::ExcludeEndpointUpdate{to_underlying(change.endpoint), change.excluded};
   }
 
  private:
@@ -54,11 +54,11 @@
 }  // namespace
 
 std::uint32_t wire_table_id(std::uint32_t controller, TableId table) {
-  return controller % kControllerRanges * kTablesPerController + raw(table);
+  return controller % kControllerRanges * kTablesPerController + to_underlying(table);
 }
 
-channel::Update to_protocol_update(std::uint32_t controller, const assignments::Update& update,
-                                   const EndpointCatalog& endpoints) {
+native_protocol::Update to_protocol_update(std::uint32_t controller, const assignments::Update& update,
+                                           const EndpointCatalog& endpoints) {
   return std::visit(ProtocolUpdateVisitor(controller, endpoints), update);
 }
 
@@ -66,7 +66,8 @@
                                 const SessionTable& sessions) {
   if (all_proxies)
     for (const auto& [proxy, stream] : sessions.proxies()) updates_.try_emplace(proxy);
-  for (auto& [proxy, updates] : updates_) updates.emplace_back(channel::AckRequestUpdate{sequence_number});
+  for (auto& [proxy, updates] : updates_)
+    updates.emplace_back(native_protocol::AckRequestUpdate{sequence_number});
 }
 
 }  // namespace beamshunt::assigner
--- a/src/assigner/update_writer.h
+++ b/src/assigner/update_writer.h
@@ -10,7 +10,7 @@
 #include "assigner/endpoint_catalog.h"
 #include "assigner/session_table.h"
 #include "assignments/assignment_tables.h"
-#include "channel/frames.h"
+#include "native_protocol/frames.h"
 
 namespace beamshunt::assigner {
 
@@ -20,14 +20,14 @@
 
 // Converts an update of this controller to the native protocol. An update that sets a weight above 0 gets the
 // locality, cell and address of its endpoint from `endpoints`.
-channel::Update to_protocol_update(std::uint32_t controller, const assignments::Update& update,
-                                   const EndpointCatalog& endpoints);
+native_protocol::Update to_protocol_update(std::uint32_t controller, const assignments::Update& update,
+                                           const EndpointCatalog& endpoints);
 
 class UpdateWriter {
  public:
-  using UpdatesByProxy = std::map<ProxyId, std::vector<channel::Update>>;
+  using UpdatesByProxy = std::map<ProxyId, std::vector<native_protocol::Update>>;
 
-  void add(ProxyId proxy, const channel::Update& update) { updates_[proxy].push_back(update); }
+  void add(ProxyId proxy, const native_protocol::Update& update) { updates_[proxy].push_back(update); }
   // Adds an acknowledgement request for each proxy that has pending updates and, if `all_proxies` is set, for
   // each registered proxy.
   void request_acks(std::uint32_t sequence_number, bool all_proxies, const SessionTable& sessions);
--- a/src/platform/endpoint_view_log.cpp
+++ b/src/platform/endpoint_view_log.cpp
@@ -14,7 +14,7 @@
 const char* outcome_name(AttemptOutcome outcome) {
   constexpr const char* kNames[] = {"success",        "application_error", "rejected",  "timed_out",
                                     "connect_failed", "connection_lost",   "cancelled", "not_sent"};
-  return kNames[base::raw(outcome)];
+  return kNames[base::to_underlying(outcome)];
 }
 
 // The endpoint's share of the weights of all tables that proxies use.
@@ -47,19 +47,20 @@
     view.utilization = utilization->second;
 }
 
-void EndpointViewLog::write_if_due(const Directory& directory, const assignments::AssignmentTables& tables,
-                                   const settings::Names& names, Ms now) {
+void EndpointViewLog::write_if_due(const EndpointCatalog& catalog,
+                                   const assignments::AssignmentTables& tables, const settings::Names& names,
+                                   Ms now) {
   if (now < next_line_at_) return;
   next_line_at_ = now + kLineInterval;
   log::Fields fields;
-  for (const ListedEndpoint& endpoint : directory.listed()) {
+  for (const ListedEndpoint& endpoint : catalog.listed()) {
     View& view = views_[endpoint.id];
     const double successful = view.attempts - view.failed;
     fields.emplace_back(
-        *directory.uid(endpoint.id),
+        *catalog.uid(endpoint.id),
         fmt::format("{} {}: {:.0f} attempts, {:.0f} failed, {:.0f} ms; weight share {:.2f}; health check {}, "
                     "utilization {:.2f}",
-                    names.localities[base::raw(endpoint.locality)],
+                    names.localities[base::to_underlying(endpoint.locality)],
                     endpoint.state == EndpointState::available ? "available" : "draining", view.attempts,
                     view.failed, successful > 0 ? view.total_latency / successful : 0,
                     weight_share(endpoint.id, tables), view.health_check_outcome, view.utilization));
--- a/tests/assigner/core_harness.h
+++ b/tests/assigner/core_harness.h
@@ -52,8 +52,8 @@
   AssignerSettings settings = load_assigner_settings({{"site.cue", kSiteConfiguration}});
   Ms now = 1000000;
   Core core;
-  std::map<StreamId, std::vector<channel::Frame>> received_frames;
-  std::map<StreamId, channel::FrameParser> parsers;
+  std::map<StreamId, std::vector<native_protocol::Frame>> received_frames;
+  std::map<StreamId, native_protocol::FrameParser> parsers;
   std::vector<StreamId> closed_streams;
   std::vector<Effect> other_effects;  // effects that no other member records
   std::vector<WriteLogEvent> log_events;
@@ -89,7 +89,9 @@
     run_once();
     return id;
   }
-  void send_frame(StreamId id, const channel::Frame& frame) { send_bytes(id, channel::encode(frame)); }
+  void send_frame(StreamId id, const native_protocol::Frame& frame) {
+    send_bytes(id, native_protocol::encode(frame));
+  }
   void send_bytes(StreamId id, std::string_view bytes) {
     core.stream_bytes_received(id, bytes, now);
     run_once();
@@ -98,12 +100,12 @@
   StreamId register_proxy(std::uint32_t proxy, std::uint64_t incarnation = 1, std::uint32_t attempt = 1,
                           bool south = false) {
     StreamId id = open_stream(fmt::format("127.{}.1.{}:40000", south ? 20 : 10, proxy + 1));
-    send_frame(id, channel::Hello{.proxy = proxy,
-                                  .incarnation = incarnation,
-                                  .attempt = attempt,
-                                  .locality = south ? "south" : "north",
-                                  .expected_rate = 10,
-                                  .only_static_tables = true});
+    send_frame(id, native_protocol::Hello{.proxy = proxy,
+                                          .incarnation = incarnation,
+                                          .attempt = attempt,
+                                          .locality = south ? "south" : "north",
+                                          .expected_rate = 10,
+                                          .only_static_tables = true});
     return id;
   }
   void deliver_endpoint_list(const std::string& json) {
@@ -123,7 +125,7 @@
   }
   // Returns the reason of the last Refuse frame on the stream, or an empty string.
   std::string refusal_reason(StreamId id) {
-    auto refusals = received<channel::Refuse>(id);
+    auto refusals = received<native_protocol::Refuse>(id);
     return refusals.empty() ? "" : refusals.back().reason;
   }
   // Returns whether an event with this name was logged, with `part` contained in one of its fields.
@@ -139,13 +141,13 @@
   // Returns the weights by table and endpoint that a proxy has after applying all received updates.
   std::map<std::uint32_t, std::map<std::uint32_t, double>> weight_tables(StreamId id) {
     std::map<std::uint32_t, std::map<std::uint32_t, double>> tables;
-    for (auto& message : received<channel::UpdateMessage>(id))
+    for (auto& message : received<native_protocol::UpdateMessage>(id))
       for (auto& update : message.updates) {
-        if (auto* weight = std::get_if<channel::WeightUpdate>(&update)) {
+        if (auto* weight = std::get_if<native_protocol::WeightUpdate>(&update)) {
           if (weight->weight > 0) tables[weight->table][weight->endpoint] = weight->weight;
           else tables[weight->table].erase(weight->endpoint);
         }
-        if (auto* assignment = std::get_if<channel::AssignTableUpdate>(&update))
+        if (auto* assignment = std::get_if<native_protocol::AssignTableUpdate>(&update))
           tables[assignment->table].clear();
       }
     return tables;
@@ -156,9 +158,9 @@
     for (Ms end = now + time; now < end; advance(50))
       for (StreamId id : streams) {
         if (is_closed(id)) continue;
-        auto messages = received<channel::UpdateMessage>(id);
-        if (!messages.empty()) send_frame(id, channel::Acknowledgement{messages.back().sequence});
-        else send_frame(id, channel::Ping{1});
+        auto messages = received<native_protocol::UpdateMessage>(id);
+        if (!messages.empty()) send_frame(id, native_protocol::Acknowledgement{messages.back().sequence});
+        else send_frame(id, native_protocol::Ping{1});
       }
   }
 };
--- a/tests/assigner/core_test.cpp
+++ b/tests/assigner/core_test.cpp
@@ -4,8 +4,8 @@
 #include <gtest/gtest.h>
 
 #include "assigner/core_harness.h"
-#include "draw.h"
 #include "flight_record/replay.h"
+#include "seeded_random.h"
 
 namespace beamshunt::assigner::test {
 namespace {
@@ -18,17 +18,17 @@
       harness.other_effects.size() > 1);
   harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2, 4, 1, 3}));
   StreamId proxy_stream = harness.register_proxy(0);
-  ASSERT_EQ(harness.received<channel::Welcome>(proxy_stream).size(), 1u);
-  EXPECT_EQ(harness.received<channel::Welcome>(proxy_stream)[0].epoch, 1u);
+  ASSERT_EQ(harness.received<native_protocol::Welcome>(proxy_stream).size(), 1u);
+  EXPECT_EQ(harness.received<native_protocol::Welcome>(proxy_stream)[0].epoch, 1u);
   harness.advance_responsive({proxy_stream}, 500);
   auto tables = harness.weight_tables(proxy_stream);
   ASSERT_EQ(tables.size(), 2u);
   for (auto& [table, weights] : tables)
     for (std::uint32_t local : {2u, 4u}) EXPECT_TRUE(weights.contains(local)) << table;
-  auto messages = harness.received<channel::UpdateMessage>(proxy_stream);
+  auto messages = harness.received<native_protocol::UpdateMessage>(proxy_stream);
   for (std::size_t k = 0; k < messages.size(); ++k) EXPECT_EQ(messages[k].sequence, k + 1);
   EXPECT_EQ(harness.core.unacknowledged_lines(), 0);
-  auto* weight = std::get_if<channel::WeightUpdate>(&messages[0].updates[1]);
+  auto* weight = std::get_if<native_protocol::WeightUpdate>(&messages[0].updates[1]);
   ASSERT_TRUE(weight);
   EXPECT_EQ(weight->ip >> 24, 127u);
   EXPECT_EQ(weight->port, 8000);
@@ -67,13 +67,13 @@
   StreamId oversized_frame = harness.open_stream("127.10.1.11:1");
   harness.send_bytes(oversized_frame, std::string("\x00\xff\xff\xff\x01", 5));
   StreamId old_version = harness.open_stream("127.10.1.12:1");
-  harness.send_frame(old_version, channel::Hello{.version = 9});
+  harness.send_frame(old_version, native_protocol::Hello{.version = 9});
   StreamId unknown_address = harness.open_stream("127.99.1.1:1");
-  harness.send_frame(unknown_address, channel::Hello{.proxy = 5, .locality = "north"});
+  harness.send_frame(unknown_address, native_protocol::Hello{.proxy = 5, .locality = "north"});
   StreamId wrong_locality = harness.open_stream("127.10.1.13:1");
-  harness.send_frame(wrong_locality, channel::Hello{.proxy = 6, .locality = "south"});
+  harness.send_frame(wrong_locality, native_protocol::Hello{.proxy = 6, .locality = "south"});
   StreamId missing_hello = harness.open_stream("127.10.1.14:1");
-  harness.send_frame(missing_hello, channel::Acknowledgement{1});
+  harness.send_frame(missing_hello, native_protocol::Acknowledgement{1});
   harness.advance_responsive({valid}, 1000);
   EXPECT_NE(harness.refusal_reason(silent).find("no hello in time"), std::string::npos);
   EXPECT_NE(harness.refusal_reason(not_a_frame).find("at byte 0: a frame of"), std::string::npos);
@@ -100,10 +100,10 @@
   CoreHarness harness;
   harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2}));
   StreamId proxy_stream = harness.register_proxy(0);
-  harness.send_frame(proxy_stream, channel::Acknowledgement{99});
+  harness.send_frame(proxy_stream, native_protocol::Acknowledgement{99});
   EXPECT_TRUE(harness.is_closed(proxy_stream));
   StreamId reporting_stream = harness.register_proxy(1);
-  harness.send_frame(reporting_stream, channel::LoadReportMessage{1, 250, {}, {{9, 1, 0}}});
+  harness.send_frame(reporting_stream, native_protocol::LoadReportMessage{1, 250, {}, {{9, 1, 0}}});
   EXPECT_NE(harness.refusal_reason(reporting_stream).find("a report on class 9, there are 2"),
             std::string::npos);
 }
@@ -117,7 +117,7 @@
   StreamId proxy_stream = harness.register_proxy(0);
   harness.advance(550);
   EXPECT_FALSE(harness.is_closed(proxy_stream));
-  EXPECT_GE(harness.received<channel::Ping>(proxy_stream).size(), 1u);
+  EXPECT_GE(harness.received<native_protocol::Ping>(proxy_stream).size(), 1u);
   harness.advance(200);
   EXPECT_TRUE(harness.is_closed(proxy_stream));
   EXPECT_EQ(harness.core.proxy_count(), 0u);
@@ -130,7 +130,7 @@
   harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2}));
   StreamId stalled = harness.register_proxy(0), valid = harness.register_proxy(1);
   for (int k = 0; k < 220 && !harness.is_closed(stalled); ++k) {
-    harness.send_frame(stalled, channel::Ping{1});
+    harness.send_frame(stalled, native_protocol::Ping{1});
     harness.advance_responsive({valid}, 50);
   }
   EXPECT_TRUE(harness.is_closed(stalled));
@@ -149,12 +149,12 @@
             std::string::npos);
   // A report may follow the hello immediately and exceed the limit for a hello.
   StreamId proxy_stream = harness.open_stream("127.10.1.2:1");
-  channel::LoadReportMessage report{.sequence = 1, .interval_ms = 250};
+  native_protocol::LoadReportMessage report{.sequence = 1, .interval_ms = 250};
   for (std::uint32_t endpoint = 0; endpoint < 200; ++endpoint)
     report.endpoints.push_back({endpoint, 1, 0, 20, {}});
-  harness.send_bytes(proxy_stream, channel::encode(channel::Hello{
+  harness.send_bytes(proxy_stream, native_protocol::encode(native_protocol::Hello{
                                        .proxy = 1, .incarnation = 1, .attempt = 1, .locality = "north"}) +
-                                       channel::encode(report));
+                                       native_protocol::encode(report));
   EXPECT_FALSE(harness.is_closed(proxy_stream));
   EXPECT_EQ(harness.core.counters().reports, 1u);
 }
@@ -183,7 +183,8 @@
   StreamId duplicate = harness.register_proxy(0, 88, 1);
   EXPECT_TRUE(harness.is_closed(duplicate));
   EXPECT_FALSE(harness.is_closed(first));
-  EXPECT_EQ(harness.received<channel::Refuse>(duplicate).at(0).code, channel::RefuseCode::id_in_use);
+  EXPECT_EQ(harness.received<native_protocol::Refuse>(duplicate).at(0).code,
+            native_protocol::RefuseCode::id_in_use);
   // The first proxy falls silent, as after a loss of power: its successor may register.
   harness.advance(650);
   StreamId successor = harness.register_proxy(0, 99, 1);
@@ -200,12 +201,12 @@
   harness.deliver_endpoint_list(endpoint_list_json("total", 1, ids));
   StreamId first = harness.register_proxy(0);
   // The message has some hundred lines, so it is not sent immediately at 2000 lines per second.
-  EXPECT_TRUE(harness.received<channel::UpdateMessage>(first).empty());
+  EXPECT_TRUE(harness.received<native_protocol::UpdateMessage>(first).empty());
   harness.advance(20);
-  EXPECT_TRUE(harness.received<channel::UpdateMessage>(first).empty());
+  EXPECT_TRUE(harness.received<native_protocol::UpdateMessage>(first).empty());
   harness.advance(400);
-  ASSERT_EQ(harness.received<channel::UpdateMessage>(first).size(), 1u);
-  auto message = harness.received<channel::UpdateMessage>(first)[0];
+  ASSERT_EQ(harness.received<native_protocol::UpdateMessage>(first).size(), 1u);
+  auto message = harness.received<native_protocol::UpdateMessage>(first)[0];
   EXPECT_EQ(message.lines, static_cast<double>(message.updates.size()) + 3);
   StreamId second = harness.register_proxy(1);
   harness.core.stream_closed(second, "reset", harness.now);
@@ -257,7 +258,7 @@
   restarted.advance_responsive({proxy_stream}, 500);
   ASSERT_FALSE(restarted.weight_tables(proxy_stream).empty());
   for (auto& [table, weights] : restarted.weight_tables(proxy_stream)) EXPECT_EQ(weights.size(), 2u);
-  EXPECT_EQ(restarted.received<channel::Welcome>(proxy_stream)[0].epoch, 2u);
+  EXPECT_EQ(restarted.received<native_protocol::Welcome>(proxy_stream)[0].epoch, 2u);
 }
 
 // A client sends a PeerHello with an instance that is not in the settings, or with a configured instance from
@@ -271,11 +272,11 @@
   EXPECT_TRUE(dialled);
   StreamId known = harness.open_stream("127.20.0.1:1"), unknown = harness.open_stream("127.20.0.2:1");
   StreamId elsewhere = harness.open_stream("127.20.0.3:1");
-  harness.send_frame(elsewhere, channel::PeerHello{.instance = 7});
+  harness.send_frame(elsewhere, native_protocol::PeerHello{.instance = 7});
   EXPECT_TRUE(harness.is_closed(elsewhere));
-  harness.send_frame(known, channel::PeerHello{.instance = 7});
-  harness.send_frame(unknown, channel::PeerHello{.instance = 8});
-  harness.send_frame(known, channel::PeerNote{"hello"});
+  harness.send_frame(known, native_protocol::PeerHello{.instance = 7});
+  harness.send_frame(unknown, native_protocol::PeerHello{.instance = 8});
+  harness.send_frame(known, native_protocol::PeerNote{"hello"});
   EXPECT_FALSE(harness.is_closed(known));
   EXPECT_TRUE(harness.is_closed(unknown));
 }
@@ -299,7 +300,8 @@
   StreamId proxy_stream = harness.register_proxy(0);
   harness.core.stop(harness.now);
   harness.run_once();
-  EXPECT_EQ(harness.received<channel::Refuse>(proxy_stream).at(0).code, channel::RefuseCode::stopping);
+  EXPECT_EQ(harness.received<native_protocol::Refuse>(proxy_stream).at(0).code,
+            native_protocol::RefuseCode::stopping);
   EXPECT_TRUE(harness.is_closed(proxy_stream));
   StreamId late = harness.open_stream("127.10.1.2:1");
   EXPECT_TRUE(harness.is_closed(late));
@@ -311,7 +313,7 @@
 TEST(Core, ServesAllProxiesAndKeepsItsLimitsThroughSeededFaults) {
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
     CoreHarness harness;
-    beamshunt::test::Draw draw(seed);
+    beamshunt::test::SeededRandom draw(seed);
     harness.deliver_endpoint_list(endpoint_list_json("total", 1, {2, 4, 6, 8}));
     std::map<std::uint32_t, StreamId> streams;
     std::map<std::uint32_t, std::uint32_t> attempts;
@@ -351,7 +353,7 @@
           if (!harness.is_closed(proxy_stream))
             harness.send_frame(
                 proxy_stream,
-                channel::LoadReportMessage{
+                native_protocol::LoadReportMessage{
                     std::uint64_t(step) + 1, 250, {{2, 10, draw(10), 30, {}}}, {{0, draw(50), 0}}});
           break;
         default: {
@@ -372,7 +374,7 @@
     for (StreamId stream : proxy_streams) {
       ASSERT_FALSE(harness.is_closed(stream)) << "seed " << seed;
       std::uint64_t next = 1;
-      for (auto& message : harness.received<channel::UpdateMessage>(stream))
+      for (auto& message : harness.received<native_protocol::UpdateMessage>(stream))
         ASSERT_EQ(message.sequence, next++) << "seed " << seed;
       auto tables = harness.weight_tables(stream);
       ASSERT_EQ(tables.size(), 2u) << "seed " << seed;
