--- a/src/platform/core.cpp
+++ b/src/platform/core.cpp
@@ -89,7 +89,7 @@
     ++counters_.malformed;
     outputs_.log(log::Level::warning, "message_malformed", malformed_fields(id, error));
     if (session.count_malformed_message())
-      throw ProtocolError(ProtocolError::Scope::connection, "too many consecutive malformed messages",
+      throw ProtocolError(ProtocolError::Scope::connection, "nothing usable comes any more",
                           {.expected = "a valid message"});
   }
 }
@@ -97,7 +97,7 @@
 void Core::evict(ConnectionId id) {
   const Session* session = sessions_.find(id);
   if (session == nullptr || session->is_registered()) return;  // registered by the last bytes received
-  outputs_.send(id, error_line("too many unregistered connections"));
+  outputs_.send(id, error_line("too many connections that have not joined"));
   outputs_.effects.emplace_back(CloseConnection{id, true});
   ++counters_.evicted;
   end_session(id, "evicted to free a descriptor");
@@ -348,7 +348,7 @@
   pass.unfinished_bytes += session.unfinished_bytes();
   const bool over_memory = session.unfinished_bytes() > 0 && pass.unfinished_bytes > kMaxUnfinishedBytes;
   if (session.message_timed_out(pass.now) || over_memory) {
-    reject(id, "a message remained incomplete");
+    reject(id, "a message does not end");
     return;
   }
   if (pass.liveness_checks_left > 0 && check_liveness(id, session, pass.now)) --pass.liveness_checks_left;
--- a/src/platform/message.cpp
+++ b/src/platform/message.cpp
@@ -58,7 +58,7 @@
 
   [[nodiscard]] std::string string(const char* name) const {
     const json& value = at(name);
-    if (!value.is_string()) fail_field(name, "is not a string", excerpt(value), "a string");
+    if (!value.is_string()) fail_field(name, "is no text", excerpt(value), "a string");
     auto text = value.get<std::string>();
     if (text.empty() || text.size() > kMaxStringBytes)
       fail_field(name, "is empty or too long", excerpt(value),
@@ -68,7 +68,7 @@
 
   [[nodiscard]] double number(const char* name, double max) const {
     const json& value = at(name);
-    if (!value.is_number()) fail_field(name, "is not a number", excerpt(value), "a number");
+    if (!value.is_number()) fail_field(name, "is no number", excerpt(value), "a number");
     auto number = value.get<double>();
     if (!std::isfinite(number) || number < 0 || number > max)
       fail_field(name, "is out of range: " + value.dump(), excerpt(value), "0 to " + json(max).dump());
@@ -77,13 +77,13 @@
 
   [[nodiscard]] double integer(const char* name, double max) const {
     double value = number(name, max);
-    if (value != std::floor(value)) fail_field(name, "is not an integer", excerpt(at(name)), "an integer");
+    if (value != std::floor(value)) fail_field(name, "is no whole number", excerpt(at(name)), "an integer");
     return value;
   }
 
   [[nodiscard]] bool boolean(const char* name) const {
     const json& value = at(name);
-    if (!value.is_boolean()) fail_field(name, "is not a boolean", excerpt(value), "true or false");
+    if (!value.is_boolean()) fail_field(name, "is neither true nor false", excerpt(value), "true or false");
     return value.get<bool>();
   }
 
@@ -146,11 +146,11 @@
 }
 
 LoadReport parse_load_metrics(const json& metrics) {
-  if (!metrics.is_object()) fail_field("metrics", "is not an object", excerpt(metrics), "an object");
+  if (!metrics.is_object()) fail_field("metrics", "is no object", excerpt(metrics), "an object");
   LoadReport load;
   for (const auto& [name, value] : metrics.items()) {
     if (!value.is_number() || !is_valid_load_metric(value.get<double>()))
-      fail_field("metrics." + name.substr(0, kMaxStringBytes), "is invalid", excerpt(value),
+      fail_field("metrics." + name.substr(0, kMaxStringBytes), "is unusable", excerpt(value),
                  "0 to " + json(kMaxLoadMetric).dump());
     set_load_metric(load, name, value.get<double>());
   }
@@ -260,7 +260,7 @@
   // range. The line boundaries are intact in that case, so only this message is lost.
   std::size_t last = line.find_last_not_of(" \t\r");
   if (object.is_discarded() && last != std::string_view::npos && line[last] == '}')
-    fail_message("a message cannot be parsed", {.expected = "a JSON object"});
+    fail_message("a message can't be read", {.expected = "a JSON object"});
   if (!object.is_object()) fail_connection("a message is no JSON object", "a JSON object a line");
 
   MessageFields fields(object);
@@ -271,7 +271,7 @@
   if (kind == "ack") return parse_ack(fields, proxy_count);
   if (kind == "outcomes") return parse_endpoint_report(fields, names);
   if (kind == "demand") return parse_demand_report(fields, names, proxy_count);
-  fail_message("kind " + kind + " is not accepted by an assigner",
+  fail_message("kind " + kind + " is not one that an assigner takes",
                {"t", kind, "probe, agent, hello, ack, outcomes or demand"});
 }
 
