--- a/src/base/archive.h
+++ b/src/base/archive.h
@@ -123,14 +123,14 @@
   [[nodiscard]] std::size_t remaining() const { return bytes_.size() - offset_; }
   // Throws DecodeError unless the whole input has been read.
   void expect_end() const {
-    if (remaining() > 0) fail(std::to_string(remaining()) + " unexpected bytes at the end");
+    if (remaining() > 0) fail(std::to_string(remaining()) + " bytes too many");
   }
   // Throws DecodeError at the current offset. Callers reject an invalid decoded value with it.
   [[noreturn]] void fail(const std::string& reason) const { throw DecodeError(offset_, reason); }
 
  private:
   std::string_view read_bytes(std::size_t size) {
-    if (size > remaining()) fail("the input ends " + std::to_string(size - remaining()) + " bytes early");
+    if (size > remaining()) fail("ends " + std::to_string(size - remaining()) + " bytes early");
     offset_ += size;
     return bytes_.substr(offset_ - size, size);
   }
@@ -138,8 +138,7 @@
     std::uint32_t count = 0;
     get(count);
     if (count > remaining())
-      fail("a count of " + std::to_string(count) + " exceeds the remaining " + std::to_string(remaining()) +
-           " bytes");
+      fail("a count of " + std::to_string(count) + " in " + std::to_string(remaining()) + " bytes");
     return count;
   }
   template <std::integral T>
@@ -147,7 +146,7 @@
     std::uint64_t bits = 0;
     for (char c : read_bytes(sizeof(T))) bits = bits << 8 | static_cast<unsigned char>(c);
     if constexpr (std::same_as<T, bool>)
-      if (bits > 1) fail("a flag is neither 0 nor 1");
+      if (bits > 1) fail("a flag that is neither 0 nor 1");
     value = static_cast<T>(bits);
   }
   void get(double& value) {
@@ -198,7 +197,7 @@
   void get(std::variant<Ts...>& choice) {
     std::uint8_t index = 0;
     get(index);
-    if (index >= sizeof...(Ts)) fail("a variant has index " + std::to_string(index) + ", which is unknown");
+    if (index >= sizeof...(Ts)) fail("a choice of kind " + std::to_string(index) + ", which is unknown");
     get_alternative(index, choice);
   }
   template <std::size_t K = 0, typename... Ts>
